--- a/node/frontend.cpp
+++ b/node/frontend.cpp
@@ -751,9 +751,12 @@
   });
 }
 
-// Guards against running out of descriptors: a listener that stays readable with nothing accepted would spin,
-// and clients in its queue would wait in vain. One that may be closed makes way, or else the spare descriptor
-// takes one in, to be told that there is no room: what it asks may have come already.
+// Handles an accept that failed for want of a descriptor: a listener that stays readable with nothing accepted
+// would spin, and clients in its queue would wait in vain. An evictable connection is closed, or else the
+// reserved descriptor takes one client in, to be rejected: its request may have come already.
+// The system reports the missing descriptor also while the queue is empty. Then the reserved descriptor is
+// taken back at once; left free, it would admit the next client as one that can be served, and leave its
+// attempts without a descriptor.
 void Frontend::accept_failed() {
   const bool has_way = evict();
   if (!has_way && spare_ >= 0) ::close(std::exchange(spare_, -1));
@@ -761,7 +764,11 @@
   tcp::socket socket(io_);
   acceptor_.non_blocking(true, bad);
   acceptor_.accept(socket, bad);
-  if (!bad) admit(std::move(socket), !has_way);
+  if (!bad) {
+    admit(std::move(socket), !has_way);
+  } else if (spare_ < 0) {
+    spare_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
+  }
   timer_.expires_after(Clock::span(kAcceptPause));
   timer_.async_wait([this](error_code cancelled) {
     if (!cancelled) accept();
