--- a/adapter/wirehost.cpp
+++ b/adapter/wirehost.cpp
@@ -1,4 +1,4 @@
-// thymewood_wirehost: hosts balancer copies on the bench's wire (one JSON line in, one out). It parses,
+// nettleyoke_adapter: hosts balancer copies on the bench's wire (one JSON line in, one out). It parses,
 // translates, writes and flushes; every decision is the library's.
 #include <cstdio>
 #include <iostream>
@@ -11,18 +11,18 @@
 #include <utility>
 #include <vector>
 
+#include "nettleyoke/balancer.h"
 #include "rapidjson/document.h"
 #include "rapidjson/error/en.h"
 #include "rapidjson/stringbuffer.h"
 #include "rapidjson/writer.h"
 #include "settings_reader.h"
-#include "thymewood/balancer.h"
 
 namespace {
 
 using Json = rapidjson::Value;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
-namespace ms = thymewood;
+namespace ms = nettleyoke;
 
 using namespace ms::json;  // the field readers, named all over this file
 
@@ -278,7 +278,7 @@
       std::fputc('\n', stdout);
       if (std::fflush(stdout) != 0) return 1;
     } catch (const std::exception& problem) {
-      std::fprintf(stderr, "thymewood_wirehost: line %llu, turn %s: %s\n",
+      std::fprintf(stderr, "nettleyoke_adapter: line %llu, turn %s: %s\n",
                    static_cast<unsigned long long>(lines), turn.c_str(), problem.what());
       return 2;
     }
--- a/include/thymewood/balancer.h
+++ b/include/nettleyoke/balancer.h
@@ -1,4 +1,4 @@
-// thymewood: the decisions of a load balancer for services that call services.
+// nettleyoke: the decisions of a load balancer for services that call services.
 //
 // A Balancer is one copy of the load balancer. It is told what happened (events) and says what to do
 // (actions). It has no clock, no I/O, no threads and no globals: the same settings, seed and events always
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-namespace thymewood {
+namespace nettleyoke {
 
 // ---------------------------------------------------------------- settings
 
@@ -254,4 +254,4 @@
 std::vector<std::size_t> subset_of(std::size_t copy_index, std::size_t copy_count, std::size_t servers,
                                    std::size_t size);
 
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/json/settings_reader.cpp
+++ b/json/settings_reader.cpp
@@ -2,7 +2,7 @@
 
 #include <string>
 
-namespace thymewood::json {
+namespace nettleyoke::json {
 
 const Value* find(const Value& object, const char* field) {
   if (!object.IsObject()) throw BadMessage(std::string("not an object where field '") + field + "' belongs");
@@ -139,4 +139,4 @@
   return out;
 }
 
-}  // namespace thymewood::json
+}  // namespace nettleyoke::json
--- a/json/settings_reader.h
+++ b/json/settings_reader.h
@@ -6,10 +6,10 @@
 #include <stdexcept>
 #include <string_view>
 
+#include "nettleyoke/balancer.h"
 #include "rapidjson/document.h"
-#include "thymewood/balancer.h"
 
-namespace thymewood::json {
+namespace nettleyoke::json {
 
 using Value = rapidjson::Value;
 
@@ -36,4 +36,4 @@
 // Throws BadMessage, or std::invalid_argument for a word that is not known.
 Settings read_settings(const Value& in);
 
-}  // namespace thymewood::json
+}  // namespace nettleyoke::json
--- a/lab/audit.cpp
+++ b/lab/audit.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 constexpr double kSocketSlack = 0.05;  // s; on sockets each time limit of the rules grows by this
@@ -160,4 +160,4 @@
   }
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/audit.h
+++ b/lab/audit.h
@@ -10,7 +10,7 @@
 
 #include "experiment.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 // How a call ended, as its caller saw it.
 enum class Ending {
@@ -109,4 +109,4 @@
   std::vector<std::string> first_breaks_;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/callers.cpp
+++ b/lab/callers.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 using boost::system::error_code;
 using node::Clock;
@@ -99,4 +99,4 @@
   });
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/callers.h
+++ b/lab/callers.h
@@ -14,7 +14,7 @@
 #include "experiment.h"
 #include "played_node.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 class Callers {
  public:
@@ -53,4 +53,4 @@
   boost::asio::steady_timer timer_;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/client.cpp
+++ b/lab/client.cpp
@@ -12,7 +12,7 @@
 
 #include "clock.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 namespace asio = boost::asio;
@@ -179,4 +179,4 @@
   std::erase_if(links_, [link](const auto& known) { return known.get() == link; });
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/client.h
+++ b/lab/client.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 class Client {
  public:
@@ -55,4 +55,4 @@
   std::size_t stray_answers_ = 0, opened_ = 0;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/discovery_stand_in.cpp
+++ b/lab/discovery_stand_in.cpp
@@ -11,7 +11,7 @@
 #include "rapidjson/stringbuffer.h"
 #include "rapidjson/writer.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 namespace asio = boost::asio;
@@ -300,4 +300,4 @@
   for (const std::shared_ptr<Session>& session : sessions_) session->stall();
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/discovery_stand_in.h
+++ b/lab/discovery_stand_in.h
@@ -15,7 +15,7 @@
 #include "audit.h"
 #include "clock.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 struct Entry {
   std::string name, address, zone, status = "up";  // up, draining or removed
@@ -93,4 +93,4 @@
   Counts counts_;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/draws.h
+++ b/lab/draws.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 class Draws {
  public:
@@ -48,4 +48,4 @@
   boost::random::mt19937_64 generator_;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -15,7 +15,7 @@
 #include "rapidjson/stringbuffer.h"
 #include "rapidjson/writer.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 // Bounds that keep an experiment within one machine.
@@ -415,4 +415,4 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/experiment.h
+++ b/lab/experiment.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "thymewood/balancer.h"
+#include "nettleyoke/balancer.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 // What is wrong with an experiment file: the text names the file, the line and the field.
 struct BadExperiment : std::runtime_error {
@@ -97,4 +97,4 @@
 std::string settings_json(const Experiment& experiment, int tier, const std::string& zone, int position,
                           int count);
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/hollow_node.cpp
+++ b/lab/hollow_node.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <variant>
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 namespace asio = boost::asio;
@@ -319,4 +319,4 @@
 
 void HollowNode::perform(const LogLine&) {}
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/hollow_node.h
+++ b/lab/hollow_node.h
@@ -19,13 +19,13 @@
 #include "config.h"
 #include "discovery.h"
 #include "metrics.h"
+#include "nettleyoke/balancer.h"
 #include "ops.h"
 #include "played_node.h"
 #include "server_stand_in.h"
-#include "thymewood/balancer.h"
 #include "upgrade.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 class HollowNode : public PlayedNode {
  public:
@@ -118,4 +118,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-namespace lab = thymewood::lab;
+namespace lab = nettleyoke::lab;
 namespace fs = std::filesystem;
 
 constexpr int kBroken = 1, kBadExperiment = 2, kCutOff = 130;
@@ -85,7 +85,7 @@
   raise_descriptors();
   const WorkFolder folder;
   lab::PlayOptions play;
-  play.program = options.program.empty() ? (own_folder() / "thymewood").string() : options.program;
+  play.program = options.program.empty() ? (own_folder() / "nettleyoke").string() : options.program;
   if (::access(play.program.c_str(), X_OK) != 0) throw std::runtime_error("no node at " + play.program);
   play.folder = folder.path().string();
   play.progress = show_step;
--- a/lab/play.cpp
+++ b/lab/play.cpp
@@ -29,7 +29,7 @@
 #include "real_node.h"
 #include "server_stand_in.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 namespace asio = boost::asio;
@@ -548,4 +548,4 @@
   return Play(experiment, options).run();
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/play.h
+++ b/lab/play.h
@@ -8,7 +8,7 @@
 #include "experiment.h"
 #include "report.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 struct PlayOptions {
   std::string program;                                               // the node
@@ -19,4 +19,4 @@
 // Throws std::runtime_error when the nodes don't come up. SIGINT and SIGTERM cut it off in order.
 Report play(const Experiment& experiment, const PlayOptions& options);
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/played_node.h
+++ b/lab/played_node.h
@@ -9,7 +9,7 @@
 
 #include "audit.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 class PlayedNode {
  public:
@@ -53,4 +53,4 @@
   virtual std::optional<std::uint64_t> list_index() const = 0;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/real_node.cpp
+++ b/lab/real_node.cpp
@@ -20,7 +20,7 @@
 #include "clock.h"
 #include "discovery.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 namespace asio = boost::asio;
@@ -215,4 +215,4 @@
                 });
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/real_node.h
+++ b/lab/real_node.h
@@ -15,7 +15,7 @@
 #include "client.h"
 #include "played_node.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 // One call on an operators' line; `done` gets what was answered, or nothing after two seconds.
 void call_operators(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& where,
@@ -65,4 +65,4 @@
   int status_ = 0;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -13,7 +13,7 @@
 #include "rapidjson/stringbuffer.h"
 #include "settings_reader.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 using Writer = rapidjson::PrettyWriter<rapidjson::StringBuffer>;
@@ -380,4 +380,4 @@
   return out;
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/report.h
+++ b/lab/report.h
@@ -9,7 +9,7 @@
 #include "audit.h"
 #include "experiment.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 // s; of values in any order.
 struct Spread {
@@ -80,4 +80,4 @@
 std::string to_json(const Report& report);
 std::string to_table(const Report& report);
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/server_model.cpp
+++ b/lab/server_model.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 using boost::system::error_code;
 using node::Clock;
@@ -105,4 +105,4 @@
   cold_since_ = clock_.now();
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/server_model.h
+++ b/lab/server_model.h
@@ -13,7 +13,7 @@
 
 #include "clock.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 class ServerModel {
  public:
@@ -70,4 +70,4 @@
   double speed_ = 1, cold_since_ = -1, work_done_ = 0;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/server_stand_in.cpp
+++ b/lab/server_stand_in.cpp
@@ -12,7 +12,7 @@
 #include <optional>
 #include <utility>
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 namespace asio = boost::asio;
@@ -317,4 +317,4 @@
   model_.start();
 }
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/lab/server_stand_in.h
+++ b/lab/server_stand_in.h
@@ -16,7 +16,7 @@
 #include "draws.h"
 #include "server_model.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 class ServerStandIn {
  public:
@@ -91,4 +91,4 @@
   std::size_t accepted_ = 0;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/node/budget.h
+++ b/node/budget.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 class Budget {
  public:
@@ -44,4 +44,4 @@
   std::size_t most_ = 0, used_ = 0;
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/clock.h
+++ b/node/clock.h
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <cstdint>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 class Clock {
  public:
@@ -39,4 +39,4 @@
   timer.expires_at(Clock::Steady::time_point::max(), ignored);
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -11,7 +11,7 @@
 #include "rapidjson/error/en.h"
 #include "settings_reader.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 std::uint64_t read_seed(const json::Value& in) {
@@ -145,4 +145,4 @@
   return out;
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/config.h
+++ b/node/config.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "discovery.h"
-#include "thymewood/balancer.h"
+#include "nettleyoke/balancer.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 struct Config {
   std::string name;
@@ -36,4 +36,4 @@
 // would be a silent guess.
 Config read_next_config(const std::string& path, const Clock& clock, const Config& force);
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/discovery.cpp
+++ b/node/discovery.cpp
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 namespace asio = boost::asio;
@@ -350,4 +350,4 @@
   if (!std::exchange(complained_, true)) std::clog << text << '\n';
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/discovery.h
+++ b/node/discovery.h
@@ -15,10 +15,10 @@
 #include <vector>
 
 #include "clock.h"
+#include "nettleyoke/balancer.h"
 #include "settings_reader.h"
-#include "thymewood/balancer.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 // How discovery names what the module knows by number.
 struct Directory {
@@ -91,4 +91,4 @@
   bool is_pausing_ = false, complained_ = false, answers_at_once_ = false;
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <variant>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 namespace asio = boost::asio;
@@ -405,4 +405,4 @@
 
 void Dispatcher::perform(const LogLine& action) { std::clog << action.text << '\n'; }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -17,10 +17,10 @@
 #include "clock.h"
 #include "discovery.h"
 #include "message.h"
-#include "thymewood/balancer.h"
+#include "nettleyoke/balancer.h"
 #include "upstream.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 // A request's final answer.
 struct Answer {
@@ -134,4 +134,4 @@
   int paths_ = 0;
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/frontend.cpp
+++ b/node/frontend.cpp
@@ -16,7 +16,7 @@
 #include <string_view>
 #include <utility>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -751,12 +751,12 @@
   });
 }
 
-// Handles an accept that failed for want of a descriptor: a listener that stays readable with nothing accepted
-// would spin, and clients in its queue would wait in vain. An evictable connection is closed, or else the
-// reserved descriptor takes one client in, to be rejected: its request may have come already.
-// The system reports the missing descriptor also while the queue is empty. Then the reserved descriptor is
-// taken back at once; left free, it would admit the next client as one that can be served, and leave its
-// attempts without a descriptor.
+// Handles an accept that failed for want of a descriptor: a listener that stays readable with nothing
+// accepted would spin, and clients in its queue would wait in vain. An evictable connection is closed, or
+// else the reserved descriptor takes one client in, to be rejected: its request may have come already. The
+// system reports the missing descriptor also while the queue is empty. Then the reserved descriptor is taken
+// back at once; left free, it would admit the next client as one that can be served, and leave its attempts
+// without a descriptor.
 void Frontend::accept_failed() {
   const bool has_way = evict();
   if (!has_way && spare_ >= 0) ::close(std::exchange(spare_, -1));
@@ -869,4 +869,4 @@
   }
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/frontend.h
+++ b/node/frontend.h
@@ -17,7 +17,7 @@
 #include "metrics.h"
 #include "validation.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 class Frontend {
  public:
@@ -84,4 +84,4 @@
   std::function<void()> drained_;
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -1,4 +1,4 @@
-// thymewood: a load-balancer node. Environment, signals, wiring and exit status; the work is elsewhere.
+// nettleyoke: a load-balancer node. Environment, signals, wiring and exit status; the work is elsewhere.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -28,7 +28,7 @@
 namespace {
 
 namespace asio = boost::asio;
-namespace node = thymewood::node;
+namespace node = nettleyoke::node;
 
 constexpr int kBadConfiguration = 2;
 // Messages may fill this part of the memory: the rest is for the program, what a connection takes by itself
@@ -175,11 +175,11 @@
     }
     listener = node::inherited_listener(std::getenv("RELAY_LISTEN_FD"));
   } catch (const std::exception& problem) {
-    std::cerr << "thymewood: " << problem.what() << '\n';
+    std::cerr << "nettleyoke: " << problem.what() << '\n';
     return kBadConfiguration;
   }
   const Shares shares(config.sockets, config.ops.has_value(), listener.has_value());
-  const thymewood::Settings& settings = config.settings;
+  const nettleyoke::Settings& settings = config.settings;
   budget.limit(config.memory / kMessagePart / (listener ? 2 : 1));
   node::Metrics metrics;
   metrics.show(config.class_names);
@@ -209,7 +209,7 @@
     dispatcher.start(config.known);
     int status = EXIT_SUCCESS;
     const auto give_up = [&](const char* what, boost::system::error_code problem) {
-      std::cerr << "thymewood: " << what << ": " << problem.message() << '\n';
+      std::cerr << "nettleyoke: " << what << ": " << problem.message() << '\n';
       status = kBadConfiguration;
       io.stop();
     };
@@ -222,14 +222,14 @@
         return;
       }
       if (problem) return give_up("operators", problem);
-      std::clog << "thymewood " << config.name << ": operators at " << ops.local() << '\n';
+      std::clog << "nettleyoke " << config.name << ": operators at " << ops.local() << '\n';
     };
     if (config.ops) listen_once_free(ops_again, clock, open_ops, ops_opened);
     const auto open = [&] { listener ? frontend.adopt(*listener) : frontend.listen(config.listen); };
     const auto opened = [&](boost::system::error_code problem) {
       if (problem) return give_up("listen", problem);
       frontend.start();
-      std::clog << "thymewood " << config.name << ": listening on " << frontend.local() << '\n';
+      std::clog << "nettleyoke " << config.name << ": listening on " << frontend.local() << '\n';
       reload_on(hangups, parts);
     };
     listen_once_free(again, clock, open, opened);
@@ -241,7 +241,7 @@
     run_to_end(io);
     return status;
   } catch (const std::invalid_argument& problem) {
-    std::cerr << "thymewood: " << problem.what() << '\n';
+    std::cerr << "nettleyoke: " << problem.what() << '\n';
     return kBadConfiguration;
   }
   return EXIT_SUCCESS;
@@ -254,14 +254,14 @@
   try {
     const char* path = std::getenv("RELAY_CONFIG");
     if (path == nullptr || *path == '\0') {
-      std::cerr << "thymewood: RELAY_CONFIG is not set\n";
+      std::cerr << "nettleyoke: RELAY_CONFIG is not set\n";
       return kBadConfiguration;
     }
     return run(path);
   } catch (const std::exception& problem) {
-    std::fprintf(stderr, "thymewood: %s\n", problem.what());
+    std::fprintf(stderr, "nettleyoke: %s\n", problem.what());
   } catch (...) {
-    std::fputs("thymewood: an unknown fault\n", stderr);
+    std::fputs("nettleyoke: an unknown fault\n", stderr);
   }
   return EXIT_FAILURE;
 }
--- a/node/message.h
+++ b/node/message.h
@@ -9,7 +9,7 @@
 
 #include "pipe.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
@@ -41,4 +41,4 @@
   }
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/metrics.cpp
+++ b/node/metrics.cpp
@@ -5,7 +5,7 @@
 #include "rapidjson/stringbuffer.h"
 #include "rapidjson/writer.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 std::string Metrics::text(const Now& now) const {
   rapidjson::StringBuffer out;
@@ -34,4 +34,4 @@
   return {out.GetString(), out.GetSize()};
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/metrics.h
+++ b/node/metrics.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 // How a request ended, as its client sees it.
 enum class End { kServed, kRefused, kFailed };
@@ -42,4 +42,4 @@
   std::uint64_t inflight_ = 0, backend_calls_ = 0, reconfig_ok_ = 0, reconfig_failed_ = 0;
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/ops.cpp
+++ b/node/ops.cpp
@@ -10,7 +10,7 @@
 
 #include "clock.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
@@ -164,4 +164,4 @@
   return no("unknown call; READY, STATS, DISABLE ID and ENABLE ID are known");
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/ops.h
+++ b/node/ops.h
@@ -10,7 +10,7 @@
 #include <memory>
 #include <string>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 class Ops {
  public:
@@ -45,4 +45,4 @@
   std::list<std::shared_ptr<Caller>> callers_;  // the oldest first
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/pipe.h
+++ b/node/pipe.h
@@ -12,7 +12,7 @@
 
 #include "budget.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 class Pipe {
  public:
@@ -102,4 +102,4 @@
   bool whole_ = false, broken_ = false, left_ = false, touched_ = false;
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/upgrade.cpp
+++ b/node/upgrade.cpp
@@ -22,7 +22,7 @@
 #include "rapidjson/writer.h"
 #include "settings_reader.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 // s. Danger: a server that was taken out by a call to the other process counts as draining from its yes on,
@@ -160,4 +160,4 @@
          std::to_string(state.st_mtim.tv_nsec);
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/upgrade.h
+++ b/node/upgrade.h
@@ -9,7 +9,7 @@
 #include <set>
 #include <string>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 // The listening socket that RELAY_LISTEN_FD names; nothing where that is not set. Throws std::runtime_error
 // where it names something else.
@@ -46,4 +46,4 @@
   std::string seen_;  // what tells one writing of the file from the next
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -710,4 +710,4 @@
   report.ended(outcome, std::move(answer), elapsed);
 }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -14,9 +14,9 @@
 #include "clock.h"
 #include "message.h"
 #include "metrics.h"
-#include "thymewood/balancer.h"
+#include "nettleyoke/balancer.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 class Upstream {
  public:
@@ -102,4 +102,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/validation.cpp
+++ b/node/validation.cpp
@@ -7,7 +7,7 @@
 #include <span>
 #include <utility>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 namespace http = boost::beast::http;
 
@@ -142,4 +142,4 @@
 
 }  // namespace
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/node/validation.h
+++ b/node/validation.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "message.h"
-#include "thymewood/balancer.h"
+#include "nettleyoke/balancer.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 // What a request may name, from the settings.
 struct Catalog {
@@ -41,4 +41,4 @@
 std::optional<Rejected> read_request(const HttpRequest& request, const Catalog& catalog, bool late,
                                      Request& event);
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,15 +1,15 @@
-// All decisions of thymewood. The interface, that is the types, events and actions, is
-// include/thymewood/balancer.h; read it first. Reading order here: the constants, then one section for each
+// All decisions of nettleyoke. The interface, that is the types, events and actions, is
+// include/nettleyoke/balancer.h; read it first. Reading order here: the constants, then one section for each
 // question: admit? who is there? is it healthy? which server? how long? again? and last the events.
 #include <algorithm>
 #include <cmath>
 #include <unordered_map>
 #include <utility>
 
+#include "nettleyoke/balancer.h"
 #include "support.h"
-#include "thymewood/balancer.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 // ---------------------------------------------------------------- constants
@@ -853,4 +853,4 @@
 
 TenantView Balancer::tenant(double now, std::size_t tenant) const { return impl_->view(now, tenant); }
 
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -5,11 +5,11 @@
 
 #include "support.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 void require(bool good, const std::string& what) {
-  if (!good) throw std::invalid_argument("thymewood settings: " + what);
+  if (!good) throw std::invalid_argument("nettleyoke settings: " + what);
 }
 
 // Refuses NaN and infinities too.
@@ -48,4 +48,4 @@
   }
 }
 
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/src/support.h
+++ b/src/support.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "thymewood/balancer.h"
+#include "nettleyoke/balancer.h"
 
-namespace thymewood {
+namespace nettleyoke {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
 
@@ -166,4 +166,4 @@
   }
 };
 
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -26,13 +26,13 @@
 }
 
 Ran run(const std::vector<std::string>& lines) {
-  const std::string base = testing::TempDir() + "/wirehost_" + std::to_string(getpid());
+  const std::string base = testing::TempDir() + "/adapter_" + std::to_string(getpid());
   {
     std::ofstream in(base + ".in");
     for (const std::string& line : lines) in << line << '\n';
   }
   const std::string command =
-      std::string(WIREHOST) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
+      std::string(ADAPTER_PROGRAM) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
   Ran out;
   out.code = WEXITSTATUS(std::system(command.c_str()));
   std::istringstream answers(slurp(base + ".out"));
@@ -116,7 +116,7 @@
     const Ran r = run({line});
     EXPECT_NE(r.code, 0);
     EXPECT_TRUE(r.lines.empty());
-    EXPECT_TRUE(has(r.errors, "thymewood_wirehost: line 1, turn " + turn + ": ")) << r.errors;
+    EXPECT_TRUE(has(r.errors, "nettleyoke_adapter: line 1, turn " + turn + ": ")) << r.errors;
     EXPECT_EQ(std::count(r.errors.begin(), r.errors.end(), '\n'), 1) << r.errors;
     EXPECT_TRUE(has(r.errors, part)) << r.errors;
   };
--- a/tests/bulk_test.cpp
+++ b/tests/bulk_test.cpp
@@ -3,7 +3,7 @@
 
 #include "node_harness.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 constexpr std::size_t kMega = std::size_t{1} << 20;
@@ -365,4 +365,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -21,19 +21,19 @@
   format)
     sources | xargs clang-format --dry-run -Werror ;;
   tidy)
-    cmake -B "$scratch" -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DTHYMEWOOD_BUILD_LAB=ON >/dev/null
+    cmake -B "$scratch" -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DNETTLEYOKE_BUILD_LAB=ON >/dev/null
     # Side by side, for each reads much of Boost. The path analyzer, which takes minutes on that, sees the module
     # and the adapter; over the node and the lab the sanitizers stand in.
     { ls node/*.cpp lab/*.cpp; ls src/*.cpp json/*.cpp adapter/*.cpp; } |
       xargs -P "$(nproc)" -I{} sh -c 'case {} in node/*|lab/*) less=--checks=-clang-analyzer-* ;; *) less= ;; esac
         clang-tidy -p "$0" --quiet --warnings-as-errors="*" $less {}' "$scratch" ;;
   sanitizers)
-    cmake -B "$scratch" -DCMAKE_BUILD_TYPE=Debug -DTHYMEWOOD_BUILD_TESTS=ON -DTHYMEWOOD_SANITIZE=ON \
-      -DTHYMEWOOD_UNIT_TESTS_ONLY=ON
+    cmake -B "$scratch" -DCMAKE_BUILD_TYPE=Debug -DNETTLEYOKE_BUILD_TESTS=ON -DNETTLEYOKE_SANITIZE=ON \
+      -DNETTLEYOKE_UNIT_TESTS_ONLY=ON
     cmake --build "$scratch" -j4
     ctest --test-dir "$scratch" --output-on-failure -j4 ;;
   consumer)  # an installed package, found and used
-    cmake -B "$scratch/library" -DTHYMEWOOD_BUILD_ADAPTER=OFF -DTHYMEWOOD_BUILD_NODE=OFF
+    cmake -B "$scratch/library" -DNETTLEYOKE_BUILD_ADAPTER=OFF -DNETTLEYOKE_BUILD_NODE=OFF
     cmake --build "$scratch/library" -j4
     cmake --install "$scratch/library" --prefix "$scratch/installed"
     cmake -S tests/consumer -B "$scratch/consumer" -DCMAKE_PREFIX_PATH="$scratch/installed"
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -3,25 +3,25 @@
 #include <variant>
 #include <vector>
 
-#include "thymewood/balancer.h"
+#include "nettleyoke/balancer.h"
 
 int main() {
-  thymewood::Settings settings;
-  thymewood::RequestClass lookup;
+  nettleyoke::Settings settings;
+  nettleyoke::RequestClass lookup;
   lookup.aim = 0.5;
   lookup.give_up = 2;
-  lookup.effect = thymewood::Effect::kSafe;
+  lookup.effect = nettleyoke::Effect::kSafe;
   settings.classes = {lookup};
   settings.max_attempts = 3;
 
-  thymewood::Balancer balancer(settings, 42);
-  std::vector<thymewood::Action> actions;
-  thymewood::MembershipUpdate members;
+  nettleyoke::Balancer balancer(settings, 42);
+  std::vector<nettleyoke::Action> actions;
+  nettleyoke::MembershipUpdate members;
   members.servers.push_back({.address = "10.0.0.1:80"});
   balancer.handle(0.0, members, actions);
-  balancer.handle(0.1, thymewood::Request{.id = "r1", .time_left = 2}, actions);
-  for (const thymewood::Action& action : actions) {
-    if (const auto* send = std::get_if<thymewood::Send>(&action)) {
+  balancer.handle(0.1, nettleyoke::Request{.id = "r1", .time_left = 2}, actions);
+  for (const nettleyoke::Action& action : actions) {
+    if (const auto* send = std::get_if<nettleyoke::Send>(&action)) {
       std::cout << send->id << " -> " << send->server << ", time-out " << send->timeout << " s\n";
       return 0;
     }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -3,7 +3,7 @@
 // event loop it is stopped meanwhile: it then finds both, in the order in which they were done.
 #include "one_server.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 // What a client has sent and left behind, by FIN or by RST, is not sent on and not tried again.
@@ -450,4 +450,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -13,7 +13,7 @@
 #include "../src/support.h"
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 constexpr double kLoad = 0.6;    // of what a tier can do
@@ -286,4 +286,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -9,7 +9,7 @@
 
 #include "node_harness.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 using Steady = std::chrono::steady_clock;
@@ -310,4 +310,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -6,7 +6,7 @@
 
 #include "one_server.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 const std::string kHealth = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -169,4 +169,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -1,7 +1,7 @@
 // Drains: what crosses the end of a node, and the end of a server while a connection to it is on its way.
 #include "one_server.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 const std::string kHealth = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -150,4 +150,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -15,7 +15,7 @@
 #include "harness.h"
 #include "settings_reader.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 constexpr double kTold = 108, kBurst = 110, kCalm = 114, kEnd = 118;  // s
@@ -269,4 +269,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -6,9 +6,9 @@
 #include <variant>
 #include <vector>
 
-#include "thymewood/balancer.h"
+#include "nettleyoke/balancer.h"
 
-namespace thymewood {
+namespace nettleyoke {
 
 inline RequestClass class_of(Effect effect, DedupScope scope = DedupScope::kCell) {
   RequestClass c;
@@ -82,4 +82,4 @@
   return out;
 }
 
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -5,7 +5,7 @@
 
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 // An allowance that no test here reaches: admission stays out of the way.
@@ -355,4 +355,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/lab_harness.h
+++ b/tests/lab_harness.h
@@ -9,7 +9,7 @@
 
 #include "node_harness.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 
 // Runs an event loop beside the test, from start() on; what it serves is made before and goes after.
 class Loop {
@@ -40,4 +40,4 @@
   std::thread thread_;
 };
 
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/tests/lab_hollow_test.cpp
+++ b/tests/lab_hollow_test.cpp
@@ -10,7 +10,7 @@
 #include "lab_harness.h"
 #include "real_node.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 using node::Wire;
@@ -171,4 +171,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -9,7 +9,7 @@
 #include "lab_harness.h"
 #include "server_stand_in.h"
 
-namespace thymewood::lab {
+namespace nettleyoke::lab {
 namespace {
 
 using node::Wire;
@@ -414,4 +414,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::lab
+}  // namespace nettleyoke::lab
--- a/tests/left_test.cpp
+++ b/tests/left_test.cpp
@@ -7,7 +7,7 @@
 
 #include "one_server.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 struct Scene {
@@ -267,4 +267,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -10,7 +10,7 @@
 
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 TEST(Suppression, FollowsTheWorkedFigures) {
@@ -492,4 +492,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -34,7 +34,7 @@
 #include <utility>
 #include <vector>
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 using namespace std::chrono_literals;
 constexpr auto kPatience = 20s;  // a machine may be slow; a test that fails may take its time
@@ -602,4 +602,4 @@
   }
 };
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -2,7 +2,7 @@
 #include "discovery.h"
 #include "node_harness.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 TEST(Node, ServesARequestUnchanged) {
@@ -666,4 +666,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/one_server.h
+++ b/tests/one_server.h
@@ -4,7 +4,7 @@
 
 #include "node_harness.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 
 constexpr std::size_t kKilo = 1024, kMega = kKilo * 1024;
 
@@ -39,4 +39,4 @@
 
 inline Ask look(const std::string& id) { return {.kind = "look", .id = id, .method = "GET", .body = ""}; }
 
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -7,7 +7,7 @@
 
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 // The servers that `calls` requests go to, each answered at once.
@@ -256,4 +256,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -4,7 +4,7 @@
 #include "node_harness.h"
 #include "rapidjson/document.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 ConfigText with_operators() {
@@ -317,4 +317,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -8,7 +8,7 @@
 
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 struct Sent {
@@ -221,4 +221,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,7 +1,7 @@
 // SIGHUP: the file is read again, and discovery followed to its new address.
 #include "node_harness.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 std::string watch_head() { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; }
@@ -223,4 +223,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -6,7 +6,7 @@
 
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 Settings six_attempts() {
@@ -140,4 +140,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/rewatch_test.cpp
+++ b/tests/rewatch_test.cpp
@@ -6,7 +6,7 @@
 
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 MembershipUpdate failed() { return {MembershipUpdate::Form::kFailed, {}}; }
@@ -54,4 +54,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -6,7 +6,7 @@
 
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 std::size_t finals(const std::vector<Action>& actions) {
@@ -281,4 +281,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,7 +1,7 @@
 // The node in service: clients and servers that misbehave, limits that bind, addresses that are used again.
 #include "node_harness.h"
 
-namespace thymewood::node {
+namespace nettleyoke::node {
 namespace {
 
 double seconds_since(std::chrono::steady_clock::time_point start) {
@@ -285,4 +285,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood::node
+}  // namespace nettleyoke::node
--- a/tests/zone_test.cpp
+++ b/tests/zone_test.cpp
@@ -9,7 +9,7 @@
 
 #include "harness.h"
 
-namespace thymewood {
+namespace nettleyoke {
 namespace {
 
 constexpr double kWork = 0.2;       // s; each server answers one call at a time
@@ -134,4 +134,4 @@
 }
 
 }  // namespace
-}  // namespace thymewood
+}  // namespace nettleyoke
