--- a/lab/audit.cpp
+++ b/lab/checks/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "audit.h"
+#include "checks/invariant_checker.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/audit.h
+++ b/lab/checks/invariant_checker.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "experiment.h"
+#include "run/experiment.h"
 
 namespace nettleyoke::lab {
 
--- a/lab/client.cpp
+++ b/lab/load/http_client.cpp
@@ -1,4 +1,4 @@
-#include "client.h"
+#include "load/http_client.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/lab/callers.cpp
+++ b/lab/load/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "callers.h"
+#include "load/load_generator.h"
 
 #include <algorithm>
 #include <utility>
--- a/lab/callers.h
+++ b/lab/load/load_generator.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "audit.h"
+#include "checks/invariant_checker.h"
 #include "clock.h"
-#include "draws.h"
-#include "experiment.h"
-#include "played_node.h"
+#include "load/random_stream.h"
+#include "nodes/node_under_test.h"
+#include "run/experiment.h"
 
 namespace nettleyoke::lab {
 
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -15,9 +15,9 @@
 #include <system_error>
 #include <vector>
 
-#include "experiment.h"
-#include "play.h"
-#include "report.h"
+#include "report/report.h"
+#include "run/experiment.h"
+#include "run/experiment_run.h"
 
 namespace {
 
--- a/lab/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -1,4 +1,4 @@
-#include "hollow_node.h"
+#include "nodes/hollow_node.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/lab/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -15,15 +15,15 @@
 #include <unordered_map>
 #include <vector>
 
+#include "admin/admin_server.h"
+#include "admin/metrics.h"
 #include "clock.h"
 #include "config.h"
-#include "discovery.h"
-#include "metrics.h"
+#include "discovery/discovery_client.h"
 #include "nettleyoke/balancer.h"
-#include "ops.h"
-#include "played_node.h"
-#include "server_stand_in.h"
-#include "upgrade.h"
+#include "nodes/node_under_test.h"
+#include "stand_ins/server_stand_in.h"
+#include "takeover/takeover.h"
 
 namespace nettleyoke::lab {
 
--- a/lab/played_node.h
+++ b/lab/nodes/node_under_test.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "audit.h"
+#include "checks/invariant_checker.h"
 
 namespace nettleyoke::lab {
 
--- a/lab/real_node.cpp
+++ b/lab/nodes/real_node.cpp
@@ -1,4 +1,4 @@
-#include "real_node.h"
+#include "nodes/real_node.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -18,7 +18,7 @@
 #include <utility>
 
 #include "clock.h"
-#include "discovery.h"
+#include "discovery/discovery_client.h"
 
 namespace nettleyoke::lab {
 namespace {
--- a/lab/real_node.h
+++ b/lab/nodes/real_node.h
@@ -11,9 +11,9 @@
 #include <optional>
 #include <string>
 
-#include "audit.h"
-#include "client.h"
-#include "played_node.h"
+#include "checks/invariant_checker.h"
+#include "load/http_client.h"
+#include "nodes/node_under_test.h"
 
 namespace nettleyoke::lab {
 
--- a/lab/report.cpp
+++ b/lab/report/report.cpp
@@ -1,4 +1,4 @@
-#include "report.h"
+#include "report/report.h"
 
 #include <algorithm>
 #include <array>
--- a/lab/report.h
+++ b/lab/report/report.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "audit.h"
-#include "experiment.h"
+#include "checks/invariant_checker.h"
+#include "run/experiment.h"
 
 namespace nettleyoke::lab {
 
--- a/lab/experiment.cpp
+++ b/lab/run/experiment.cpp
@@ -1,4 +1,4 @@
-#include "experiment.h"
+#include "run/experiment.h"
 
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
--- a/lab/play.cpp
+++ b/lab/run/experiment_run.cpp
@@ -1,4 +1,4 @@
-#include "play.h"
+#include "run/experiment_run.h"
 
 #include <signal.h>
 #include <sys/resource.h>
@@ -19,15 +19,15 @@
 #include <utility>
 #include <vector>
 
-#include "audit.h"
-#include "callers.h"
+#include "checks/invariant_checker.h"
 #include "clock.h"
-#include "discovery_stand_in.h"
-#include "draws.h"
-#include "hollow_node.h"
-#include "played_node.h"
-#include "real_node.h"
-#include "server_stand_in.h"
+#include "load/load_generator.h"
+#include "load/random_stream.h"
+#include "nodes/hollow_node.h"
+#include "nodes/node_under_test.h"
+#include "nodes/real_node.h"
+#include "stand_ins/discovery_stand_in.h"
+#include "stand_ins/server_stand_in.h"
 
 namespace nettleyoke::lab {
 namespace {
--- a/lab/play.h
+++ b/lab/run/experiment_run.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <string>
 
-#include "experiment.h"
-#include "report.h"
+#include "report/report.h"
+#include "run/experiment.h"
 
 namespace nettleyoke::lab {
 
--- a/lab/discovery_stand_in.cpp
+++ b/lab/stand_ins/discovery_stand_in.cpp
@@ -1,4 +1,4 @@
-#include "discovery_stand_in.h"
+#include "stand_ins/discovery_stand_in.h"
 
 #include <array>
 #include <boost/asio/write.hpp>
--- a/lab/discovery_stand_in.h
+++ b/lab/stand_ins/discovery_stand_in.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "audit.h"
+#include "checks/invariant_checker.h"
 #include "clock.h"
 
 namespace nettleyoke::lab {
--- a/lab/server_model.cpp
+++ b/lab/stand_ins/server_model.cpp
@@ -1,4 +1,4 @@
-#include "server_model.h"
+#include "stand_ins/server_model.h"
 
 #include <algorithm>
 #include <utility>
--- a/lab/server_stand_in.cpp
+++ b/lab/stand_ins/server_stand_in.cpp
@@ -1,4 +1,4 @@
-#include "server_stand_in.h"
+#include "stand_ins/server_stand_in.h"
 
 #include <sys/socket.h>
 
--- a/lab/server_stand_in.h
+++ b/lab/stand_ins/server_stand_in.h
@@ -11,10 +11,10 @@
 #include <set>
 #include <string>
 
-#include "audit.h"
-#include "client.h"
-#include "draws.h"
-#include "server_model.h"
+#include "checks/invariant_checker.h"
+#include "load/http_client.h"
+#include "load/random_stream.h"
+#include "stand_ins/server_model.h"
 
 namespace nettleyoke::lab {
 
--- a/node/ops.cpp
+++ b/node/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "ops.h"
+#include "admin/admin_server.h"
 
 #include <algorithm>
 #include <array>
--- a/node/metrics.cpp
+++ b/node/admin/metrics.cpp
@@ -1,4 +1,4 @@
-#include "metrics.h"
+#include "admin/metrics.h"
 
 #include <utility>
 
--- a/node/config.h
+++ b/node/config.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "discovery.h"
+#include "discovery/discovery_client.h"
 #include "nettleyoke/balancer.h"
 
 namespace nettleyoke::node {
--- a/node/discovery.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "discovery.h"
+#include "discovery/discovery_client.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -15,10 +15,10 @@
 #include <vector>
 
 #include "clock.h"
-#include "discovery.h"
-#include "message.h"
+#include "discovery/discovery_client.h"
+#include "http/message.h"
 #include "nettleyoke/balancer.h"
-#include "upstream.h"
+#include "upstream/upstream_client.h"
 
 namespace nettleyoke::node {
 
--- a/node/frontend.cpp
+++ b/node/downstream/downstream_server.cpp
@@ -1,4 +1,4 @@
-#include "frontend.h"
+#include "downstream/downstream_server.h"
 
 #include <fcntl.h>
 #include <poll.h>
--- a/node/frontend.h
+++ b/node/downstream/downstream_server.h
@@ -12,10 +12,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "budget.h"
+#include "admin/metrics.h"
 #include "dispatcher.h"
-#include "metrics.h"
-#include "validation.h"
+#include "downstream/request_validation.h"
+#include "http/memory_budget.h"
 
 namespace nettleyoke::node {
 
--- a/node/validation.cpp
+++ b/node/downstream/request_validation.cpp
@@ -1,4 +1,4 @@
-#include "validation.h"
+#include "downstream/request_validation.h"
 
 #include <algorithm>
 #include <charconv>
--- a/node/validation.h
+++ b/node/downstream/request_validation.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "message.h"
+#include "http/message.h"
 #include "nettleyoke/balancer.h"
 
 namespace nettleyoke::node {
--- a/node/pipe.h
+++ b/node/http/body_pipe.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-#include "budget.h"
+#include "http/memory_budget.h"
 
 namespace nettleyoke::node {
 
--- a/node/message.h
+++ b/node/http/message.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <memory>
 
-#include "pipe.h"
+#include "http/body_pipe.h"
 
 namespace nettleyoke::node {
 
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -15,15 +15,15 @@
 #include <string>
 #include <utility>
 
-#include "budget.h"
+#include "admin/admin_server.h"
+#include "admin/metrics.h"
 #include "config.h"
-#include "discovery.h"
+#include "discovery/discovery_client.h"
 #include "dispatcher.h"
-#include "frontend.h"
-#include "metrics.h"
-#include "ops.h"
-#include "upgrade.h"
-#include "upstream.h"
+#include "downstream/downstream_server.h"
+#include "http/memory_budget.h"
+#include "takeover/takeover.h"
+#include "upstream/upstream_client.h"
 
 namespace {
 
--- a/node/upgrade.cpp
+++ b/node/takeover/takeover.cpp
@@ -1,4 +1,4 @@
-#include "upgrade.h"
+#include "takeover/takeover.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
--- a/node/upstream.cpp
+++ b/node/upstream/upstream_client.cpp
@@ -1,4 +1,4 @@
-#include "upstream.h"
+#include "upstream/upstream_client.h"
 
 #include <sys/socket.h>
 
--- a/node/upstream.h
+++ b/node/upstream/upstream_client.h
@@ -10,10 +10,10 @@
 #include <optional>
 #include <string>
 
-#include "budget.h"
+#include "admin/metrics.h"
 #include "clock.h"
-#include "message.h"
-#include "metrics.h"
+#include "http/memory_budget.h"
+#include "http/message.h"
 #include "nettleyoke/balancer.h"
 
 namespace nettleyoke::node {
--- a/src/balance.cpp
+++ b/src/balancer.cpp
@@ -1,12 +1,13 @@
 // All decisions of nettleyoke. The interface, that is the types, events and actions, is
 // include/nettleyoke/balancer.h; read it first. Reading order here: the constants, then one section for each
 // question: admit? who is there? is it healthy? which server? how long? again? and last the events.
+#include "nettleyoke/balancer.h"
+
 #include <algorithm>
 #include <cmath>
 #include <unordered_map>
 #include <utility>
 
-#include "nettleyoke/balancer.h"
 #include "support.h"
 
 namespace nettleyoke {
--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -9,7 +9,7 @@
 cd "$source"
 
 # Our own sources alone: the bench's journal is kept as it wrote it.
-sources() { find adapter include json lab node src tests -name '*.cpp' -o -name '*.h'; }
+sources() { find include lab node settings_json simulator_adapter src tests -name '*.cpp' -o -name '*.h'; }
 
 case $name in
   policy_size)  # the limits of the module that is read aloud
@@ -17,14 +17,14 @@
       NF { ++lines }
       length($0) > width { printf "%s:%d: over %d characters\n", FILENAME, FNR, width; bad = 1 }
       END { printf "%d non-blank lines, at most %d\n", lines, most; exit bad || lines > most || lines == 0 }
-    ' src/balance.cpp ;;
+    ' src/balancer.cpp ;;
   format)
     sources | xargs clang-format --dry-run -Werror ;;
   tidy)
     cmake -B "$scratch" -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DNETTLEYOKE_BUILD_LAB=ON >/dev/null
     # Side by side, for each reads much of Boost. The path analyzer, which takes minutes on that, sees the module
     # and the adapter; over the node and the lab the sanitizers stand in.
-    { ls node/*.cpp lab/*.cpp; ls src/*.cpp json/*.cpp adapter/*.cpp; } |
+    { find node lab -name '*.cpp'; find src settings_json simulator_adapter -name '*.cpp'; } |
       xargs -P "$(nproc)" -I{} sh -c 'case {} in node/*|lab/*) less=--checks=-clang-analyzer-* ;; *) less= ;; esac
         clang-tidy -p "$0" --quiet --warnings-as-errors="*" $less {}' "$scratch" ;;
   sanitizers)
@@ -40,7 +40,7 @@
     cmake --build "$scratch/consumer"
     "$scratch/consumer/consumer" ;;
   deploy)  # the build line of the deploy file, as it stands there, in a copy of the sources
-    cp -r CMakeLists.txt cmake include src json adapter node deploy tests "$scratch"
+    cp -r CMakeLists.txt cmake include src settings_json simulator_adapter node deploy tests "$scratch"
     cd "$scratch"
     bash -euo pipefail -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)"
     # What the fleet's platform asks of the real node: one process by exec, linked dynamically, and nothing that
--- a/tests/lab_hollow_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -1,14 +1,15 @@
 // A hollow node against a real one, on the same changes and calls: decisions, control bytes, state.
+#include "nodes/hollow_node.h"
+
 #include <algorithm>
 #include <filesystem>
 #include <set>
 
-#include "audit.h"
-#include "discovery_stand_in.h"
-#include "experiment.h"
-#include "hollow_node.h"
+#include "checks/invariant_checker.h"
 #include "lab_harness.h"
-#include "real_node.h"
+#include "nodes/real_node.h"
+#include "run/experiment.h"
+#include "stand_ins/discovery_stand_in.h"
 
 namespace nettleyoke::lab {
 namespace {
--- a/tests/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -2,12 +2,12 @@
 #include <algorithm>
 #include <fstream>
 
-#include "audit.h"
-#include "callers.h"
-#include "discovery_stand_in.h"
-#include "experiment.h"
+#include "checks/invariant_checker.h"
 #include "lab_harness.h"
-#include "server_stand_in.h"
+#include "load/load_generator.h"
+#include "run/experiment.h"
+#include "stand_ins/discovery_stand_in.h"
+#include "stand_ins/server_stand_in.h"
 
 namespace nettleyoke::lab {
 namespace {
--- a/tests/left_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -5,7 +5,7 @@
 
 #include <tuple>
 
-#include "one_server.h"
+#include "single_server_deployment.h"
 
 namespace nettleyoke::node {
 namespace {
--- a/tests/door_test.cpp
+++ b/tests/node/connection_admission_test.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <set>
 
-#include "one_server.h"
+#include "single_server_deployment.h"
 
 namespace nettleyoke::node {
 namespace {
--- a/tests/drain_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -1,5 +1,5 @@
 // Drains: what crosses the end of a node, and the end of a server while a connection to it is on its way.
-#include "one_server.h"
+#include "single_server_deployment.h"
 
 namespace nettleyoke::node {
 namespace {
--- a/tests/crossings_test.cpp
+++ b/tests/node/lifecycle_race_test.cpp
@@ -1,7 +1,7 @@
 // What is still owed at the instant at which something ends: docs/crossings.md has the list. Each crossing is
 // forced by the order of the peers' own acts. Where two of them have to reach the node in one turn of its
 // event loop it is stopped meanwhile: it then finds both, in the order in which they were done.
-#include "one_server.h"
+#include "single_server_deployment.h"
 
 namespace nettleyoke::node {
 namespace {
--- a/tests/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -1,5 +1,5 @@
 // The real node, over loopback sockets.
-#include "discovery.h"
+#include "discovery/discovery_client.h"
 #include "node_harness.h"
 
 namespace nettleyoke::node {
--- a/tests/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <utility>
 
-#include "../src/support.h"
-#include "harness.h"
+#include "balancer_harness.h"
+#include "support.h"
 
 namespace nettleyoke {
 namespace {
--- a/tests/fleet_test.cpp
+++ b/tests/unit/fleet_slow_start_test.cpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <tuple>
 
-#include "../src/support.h"
-#include "harness.h"
+#include "balancer_harness.h"
 #include "settings_reader.h"
+#include "support.h"
 
 namespace nettleyoke {
 namespace {
--- a/tests/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace nettleyoke {
 namespace {
--- a/tests/property_test.cpp
+++ b/tests/unit/property_test.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <random>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace nettleyoke {
 namespace {
--- a/tests/retry_test.cpp
+++ b/tests/unit/retry_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <functional>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace nettleyoke {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/unit/rules_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace nettleyoke {
 namespace {
--- a/tests/operators_test.cpp
+++ b/tests/unit/server_admin_state_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace nettleyoke {
 namespace {
--- a/tests/zone_test.cpp
+++ b/tests/unit/zone_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <tuple>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace nettleyoke {
 namespace {
