--- a/lab/checks/invariant_checker.cpp
+++ b/lab/checks/invariant_checker.cpp
@@ -80,7 +80,7 @@
   for (std::size_t i = 0; i < call.attempts.size(); ++i) {
     if (call.attempts[i].how != AttemptEnd::kOut) continue;
     if (call.attempts[i].is_open()) {
-      if (!rules_.second_copies) {
+      if (!rules_.allow_hedging) {
         broken("copy", id + " at " + nodes_[call.node] + " has two attempts out, at " +
                            servers_[call.attempts[i].server] + " and another");
       }
@@ -92,10 +92,10 @@
 
 void Audit::look_for_repeat(const std::string& id, const Call& call, double now) {
   const ClassPlan& plan = rules_.classes[call.request_class];
-  if (plan.effect == Effect::kSafe) return;
+  if (plan.idempotency == Idempotency::kIdempotent) return;
   for (const Attempt& earlier : call.attempts) {
     if (earlier.how == AttemptEnd::kTurnedAway) continue;  // it surely never ran
-    if (plan.effect == Effect::kUnsafe)
+    if (plan.idempotency == Idempotency::kNonIdempotent)
       return broken("duplicate", id + ", unsafe, may have run and came again");
     if (now > earlier.arrived + plan.dedup_window + kSocketSlack + own_lateness_) {
       broken("duplicate",
--- a/lab/checks/invariant_checker.h
+++ b/lab/checks/invariant_checker.h
@@ -37,7 +37,7 @@
  public:
   struct Rules {
     double answer_slack = 0, drain_grace = 0;
-    bool second_copies = false;
+    bool allow_hedging = false;
     std::vector<ClassPlan> classes;
   };
   struct Attempt {
--- a/lab/load/load_generator.cpp
+++ b/lab/load/load_generator.cpp
@@ -41,10 +41,11 @@
     }
     const ClassPlan& kind = experiment.classes[call.class_number];
     call.request_class = kind.name;
-    call.is_post = kind.effect != Effect::kSafe;
-    if (kind.effect == Effect::kKeyed) call.key = draws.hex16();
-    call.time = kind.give_up;
-    if (draws.uniform() < plan.leave_share) call.leave_after = std::max(0.001, draws.uniform() * kind.aim);
+    call.is_post = kind.idempotency != Idempotency::kIdempotent;
+    if (kind.idempotency == Idempotency::kIdempotencyKey) call.key = draws.hex16();
+    call.time = kind.client_timeout;
+    if (draws.uniform() < plan.leave_share)
+      call.leave_after = std::max(0.001, draws.uniform() * kind.latency_objective);
     arrivals_.push_back(std::move(arrival));
   }
 }
@@ -77,7 +78,7 @@
   node->call(call, [this, node, call, give_up_at, tries_left](Ending ending) {
     audit_.call_ended(call.id, ending, clock_.now());
     // What may have had its effect is not asked for again: the node has done what the class allows.
-    const bool is_safe = experiment_.classes[call.class_number].effect == Effect::kSafe;
+    const bool is_safe = experiment_.classes[call.class_number].idempotency == Idempotency::kIdempotent;
     if (ending == Ending::kRefused || (ending == Ending::kFailed && is_safe)) {
       try_again(node, call, give_up_at, tries_left);
     }
--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -23,9 +23,9 @@
 Outcome outcome_of(AttemptEnd how) {
   switch (how) {
     case AttemptEnd::kServed:
-      return Outcome::kDelivered;
+      return Outcome::kSucceeded;
     case AttemptEnd::kError:
-      return Outcome::kError;
+      return Outcome::kServerError;
     case AttemptEnd::kTurnedAway:
       return Outcome::kRejected;
     case AttemptEnd::kCut:
@@ -82,7 +82,7 @@
       io_,
       node::Ops::Calls{[this] { return has_list_; },
                        [this] {
-                         return metrics_.text({listed_.size(), balancer_->servers_avoided(clock_.now())});
+                         return metrics_.text({listed_.size(), balancer_->unavailable_servers(clock_.now())});
                        },
                        [this](const std::string& id, bool enable) -> std::string {
                          if (!listed_.contains(id) && !bans_->out().contains(id)) return "unknown server";
@@ -118,7 +118,7 @@
   std::set<std::string> named;
   for (const node::Member& member : update.members) {
     const std::string& name = member.server.address;
-    if (member.server.state == ServerState::kGone) {
+    if (member.server.state == ServerState::kRemoved) {
       listed_.erase(name);
     } else {
       listed_[name] = member.server;
@@ -146,7 +146,7 @@
   std::set_symmetric_difference(out_.begin(), out_.end(), servers.begin(), servers.end(),
                                 std::back_inserter(changed));
   out_ = servers;
-  for (const std::string& name : changed) happen(ServerSwitched{name, !out_.contains(name)});
+  for (const std::string& name : changed) happen(ServerAdminStateChanged{name, !out_.contains(name)});
 }
 
 // ---------------------------------------------------------------- calls
@@ -178,7 +178,7 @@
   event.tenant = call.tenant_number;
   event.request_class = call.class_number;
   event.time_left = call.time - margin;
-  event.is_repeat = call.is_retry;
+  event.is_client_retry = call.is_retry;
   happen(std::move(event));
 }
 
@@ -187,7 +187,7 @@
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.is_over()) return;
   answer(at->second, ending);
-  happen(RequestGone{id});
+  happen(RequestCancelled{id});
   settle(id);
 }
 
@@ -207,13 +207,13 @@
   Attempt& attempt = held.attempts[number];
   attempt.open = false;
   attempt.timer.reset();
-  if (outcome == Outcome::kDelivered && !held.is_over()) answer(held, Ending::kServed);
+  if (outcome == Outcome::kSucceeded && !held.is_over()) answer(held, Ending::kServed);
   AttemptResult event;
   event.id = id;
   event.attempt = static_cast<int>(number);
   event.outcome = outcome;
   event.elapsed = clock_.now() - attempt.since;
-  event.request_done = held.is_over();
+  event.request_completed = held.is_over();
   happen(std::move(event));
   settle(id);
 }
@@ -254,7 +254,7 @@
   }
 }
 
-void HollowNode::perform(const Send& action) {
+void HollowNode::perform(const StartAttempt& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end()) return;
   Held& held = at->second;
@@ -266,7 +266,7 @@
   if (held.is_over() || timeout <= 0) return end_later(action.id, number, Outcome::kNotSent);
   attempt.server = servers_(action.server);
   if (attempt.server == nullptr || !attempt.server->is_up()) {
-    return end_later(action.id, number, Outcome::kDialFailed);
+    return end_later(action.id, number, Outcome::kConnectFailed);
   }
   metrics_.attempt_written();
   attempt.number =
@@ -285,7 +285,7 @@
   });
 }
 
-void HollowNode::perform(const Refuse& action) {
+void HollowNode::perform(const Reject& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end() || at->second.is_over()) return;
   answer(at->second, Ending::kRefused);
@@ -299,7 +299,7 @@
   settle(action.id);
 }
 
-void HollowNode::perform(const Cancel& action) {
+void HollowNode::perform(const CancelAttempt& action) {
   const auto at = held_.find(action.id);
   const auto number = static_cast<std::size_t>(action.attempt);
   if (at == held_.end() || number >= at->second.attempts.size() || !at->second.attempts[number].open) return;
@@ -310,10 +310,11 @@
 }
 
 void HollowNode::perform(const SetTimer& action) {
-  later(std::max(0.0, action.at - clock_.now()), [this, token = action.token] { happen(TimerFired{token}); });
+  later(std::max(0.0, action.due_at - clock_.now()),
+        [this, token = action.token] { happen(TimerFired{token}); });
 }
 
-void HollowNode::perform(const WatchMembers&) {
+void HollowNode::perform(const WatchMembership&) {
   if (discovery_) discovery_->watch();
 }
 
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -86,12 +86,12 @@
   void settle(const std::string& id);
   void later(double seconds, std::function<void()> what);
 
-  void perform(const Send& action);
-  void perform(const Refuse& action);
+  void perform(const StartAttempt& action);
+  void perform(const Reject& action);
   void perform(const Fail& action);
-  void perform(const Cancel& action);
+  void perform(const CancelAttempt& action);
   void perform(const SetTimer& action);
-  void perform(const WatchMembers& action);
+  void perform(const WatchMembership& action);
   void perform(const LogLine& action);
 
   boost::asio::io_context& io_;
--- a/lab/report/report.cpp
+++ b/lab/report/report.cpp
@@ -259,7 +259,7 @@
       ++server.by_second[second];
     }
     // Second copies overlap: what servers had them for can't be taken off then.
-    if (call.ending != Ending::kServed || (call.attempts.size() > 1 && report.experiment->second_copies))
+    if (call.ending != Ending::kServed || (call.attempts.size() > 1 && report.experiment->allow_hedging))
       continue;
     const double added = call.ended - call.sent - with_servers;
     node.times.push_back(added);
--- a/lab/run/experiment.cpp
+++ b/lab/run/experiment.cpp
@@ -155,17 +155,17 @@
 ClassPlan read_class(Table& in) {
   ClassPlan out;
   out.name = in.word("name");
-  const std::string effect = in.text("effect", std::nullopt);
-  if (effect == "keyed") {
-    out.effect = Effect::kKeyed;
-  } else if (effect == "unsafe") {
-    out.effect = Effect::kUnsafe;
-  } else if (effect != "safe") {
+  const std::string idempotency = in.text("effect", std::nullopt);
+  if (idempotency == "keyed") {
+    out.idempotency = Idempotency::kIdempotencyKey;
+  } else if (idempotency == "unsafe") {
+    out.idempotency = Idempotency::kNonIdempotent;
+  } else if (idempotency != "safe") {
     in.wrong("effect", "safe, keyed or unsafe");
   }
-  out.aim = in.number("aim", std::nullopt, 0.001, kLongest);
-  out.give_up = in.number("give_up", std::nullopt, out.aim, 60);
-  out.dedup_window = in.number("dedup_window", out.give_up, 0, kLongest);
+  out.latency_objective = in.number("aim", std::nullopt, 0.001, kLongest);
+  out.client_timeout = in.number("give_up", std::nullopt, out.latency_objective, 60);
+  out.dedup_window = in.number("dedup_window", out.client_timeout, 0, kLongest);
   out.work = in.number("work_ms", std::nullopt, 0.001, 60000) / 1000;
   out.share = in.number("share", 1, 0.0001, kFar);
   in.end();
@@ -240,14 +240,14 @@
 
 void read_settings(Table in, Experiment& out) {
   out.max_attempts = in.whole("max_attempts", 3, 1, 20);
-  out.second_copies = in.flag("second_copies", false);
+  out.allow_hedging = in.flag("second_copies", false);
   out.cancel = in.flag("cancel", true);
   out.must_watch = in.flag("must_watch", false);
   out.max_retry_after = in.number("max_retry_after", 2, 0, 60);
   out.dial_timeout = in.number("dial_timeout", 0.25, 0.01, 10);
   out.idle_close = in.number("idle_close", 30, 0.05, kLongest);
-  out.start_capacity = in.number("start_capacity", 0.4, 0.01, 1);
-  out.ramp_time = in.number("ramp_time", 3, 0, kLongest);
+  out.initial_capacity = in.number("start_capacity", 0.4, 0.01, 1);
+  out.slow_start_duration = in.number("ramp_time", 3, 0, kLongest);
   out.drain_grace = in.number("drain_grace", 0.5, 0, 60);
   out.answer_slack = in.number("answer_slack", 0.5, 0, 60);
   in.end();
@@ -277,7 +277,7 @@
     TenantPlan tenant;
     tenant.name = item.word("name");
     tenant.share = item.number("share", 1, 0.0001, kFar);
-    tenant.allowance = item.number("allowance", 0, 0, kFar);
+    tenant.quota = item.number("allowance", 0, 0, kFar);
     item.end();
     out.tenants.push_back(tenant);
   }
@@ -364,7 +364,7 @@
   whole("maxAttempts", experiment.max_attempts);
   number("maxRetryAfter", experiment.max_retry_after);
   flag("retryAfter", experiment.max_retry_after > 0);
-  flag("secondCopies", experiment.second_copies);
+  flag("secondCopies", experiment.allow_hedging);
   number("dialTimeout", experiment.dial_timeout);
   number("idleClose", experiment.idle_close);
   json.EndObject();
@@ -373,13 +373,13 @@
   for (const ClassPlan& plan : experiment.classes) {
     json.StartObject();
     text("name", plan.name);
-    number("aim", plan.aim);
-    number("giveUp", plan.give_up);
+    number("aim", plan.latency_objective);
+    number("giveUp", plan.client_timeout);
     number("lateWorth", 0.5);
-    text("effect", plan.effect == Effect::kSafe    ? "safe"
-                   : plan.effect == Effect::kKeyed ? "keyed"
-                                                   : "unsafe");
-    if (plan.effect == Effect::kKeyed) {
+    text("effect", plan.idempotency == Idempotency::kIdempotent       ? "safe"
+                   : plan.idempotency == Idempotency::kIdempotencyKey ? "keyed"
+                                                                      : "unsafe");
+    if (plan.idempotency == Idempotency::kIdempotencyKey) {
       text("group", "all");
       number("dedupWindow", plan.dedup_window);
     }
@@ -392,7 +392,7 @@
     json.StartObject();
     text("name", plan.name);
     number("share", plan.share);
-    if (plan.allowance > 0) number("allowancePerS", plan.allowance);
+    if (plan.quota > 0) number("allowancePerS", plan.quota);
     json.EndObject();
   }
   json.EndArray();
@@ -405,8 +405,8 @@
   number("answerSlack", 0.02);
   number("askWithin", 10);
   number("drainGrace", experiment.drain_grace);
-  number("rampTime", experiment.ramp_time);
-  number("startCapacity", experiment.start_capacity);
+  number("rampTime", experiment.slow_start_duration);
+  number("startCapacity", experiment.initial_capacity);
   json.EndObject();
   whole("stage", tier);
   const auto at = std::find(experiment.zones.begin(), experiment.zones.end(), zone);
--- a/lab/run/experiment.h
+++ b/lab/run/experiment.h
@@ -17,8 +17,8 @@
 
 struct ClassPlan {
   std::string name;
-  Effect effect = Effect::kSafe;
-  double aim = 0, give_up = 0, dedup_window = 0;
+  Idempotency idempotency = Idempotency::kIdempotent;
+  double latency_objective = 0, client_timeout = 0, dedup_window = 0;
   double work = 0;   // s of one core, in the mean
   double share = 1;  // of the calls, against the other classes
 };
@@ -26,7 +26,7 @@
 struct TenantPlan {
   std::string name;
   double share = 1;
-  double allowance = 0;  // calls a second; 0: none is told
+  double quota = 0;  // calls a second; 0: none is told
 };
 
 // Servers that are alike. They are named s0, s1 ... over all groups of a tier, with the tier's number before
@@ -76,8 +76,9 @@
   int nodes = 1, hollow_nodes = 0, memory_mb = 192, sockets = 512;
   std::vector<std::string> zones;
   int max_attempts = 3;
-  bool second_copies = false, cancel = true, must_watch = false;
-  double max_retry_after = 2, dial_timeout = 0.25, idle_close = 30, start_capacity = 0.4, ramp_time = 3;
+  bool allow_hedging = false, cancel = true, must_watch = false;
+  double max_retry_after = 2, dial_timeout = 0.25, idle_close = 30, initial_capacity = 0.4,
+         slow_start_duration = 3;
   double drain_grace = 0.5, answer_slack = 0.5;
   std::vector<ClassPlan> classes;
   std::vector<TenantPlan> tenants;
--- a/lab/run/experiment_run.cpp
+++ b/lab/run/experiment_run.cpp
@@ -49,7 +49,7 @@
 }
 
 Audit::Rules rules_of(const Experiment& experiment) {
-  return {experiment.answer_slack, experiment.drain_grace, experiment.second_copies, experiment.classes};
+  return {experiment.answer_slack, experiment.drain_grace, experiment.allow_hedging, experiment.classes};
 }
 
 class Play {
@@ -106,8 +106,8 @@
       Tier& tier = tiers_[static_cast<std::size_t>(plan.tier)];
       const std::vector<std::string> names = experiment_.names_of_servers(plan.tier);
       for (int i = 0; i < plan.count; ++i) {
-        const ServerModel::Shape shape{plan.cores, plan.slots, plan.room, experiment_.start_capacity,
-                                       experiment_.ramp_time};
+        const ServerModel::Shape shape{plan.cores, plan.slots, plan.room, experiment_.initial_capacity,
+                                       experiment_.slow_start_duration};
         const std::string& name = names[tier.servers.size()];
         tier.servers.push_back(std::make_unique<ServerStandIn>(
             io_, clock_, audit_, name, shape,
@@ -233,7 +233,7 @@
   // The longest that a call may be open, and a bit for its server's calls to end behind it.
   double longest_call() const {
     double out = 0;
-    for (const ClassPlan& plan : experiment_.classes) out = std::max(out, plan.give_up);
+    for (const ClassPlan& plan : experiment_.classes) out = std::max(out, plan.client_timeout);
     return out + experiment_.answer_slack + 0.5;
   }
 
--- a/lab/stand_ins/server_model.cpp
+++ b/lab/stand_ins/server_model.cpp
@@ -14,9 +14,9 @@
 ServerModel::~ServerModel() = default;
 
 double ServerModel::speed_now() const {
-  if (cold_since_ < 0 || shape_.ramp_time <= 0) return speed_;
-  const double part = std::clamp((clock_.now() - cold_since_) / shape_.ramp_time, 0.0, 1.0);
-  return speed_ * (shape_.start_capacity + (1 - shape_.start_capacity) * part);
+  if (cold_since_ < 0 || shape_.slow_start_duration <= 0) return speed_;
+  const double part = std::clamp((clock_.now() - cold_since_) / shape_.slow_start_duration, 0.0, 1.0);
+  return speed_ * (shape_.initial_capacity + (1 - shape_.initial_capacity) * part);
 }
 
 ServerModel::Number ServerModel::begin(double work, double until, Done done) {
--- a/lab/stand_ins/server_model.h
+++ b/lab/stand_ins/server_model.h
@@ -19,7 +19,8 @@
  public:
   struct Shape {
     int cores = 2, slots = 16, room = 32;
-    double start_capacity = 1, ramp_time = 0;  // cold: from this part of its speed to all of it in so many s
+    double initial_capacity = 1,
+           slow_start_duration = 0;  // cold: from this part of its speed to all of it in so many s
   };
   enum class End { kServed, kFailed, kTurnedAway, kOver };
   using Done = std::function<void(End)>;
--- a/lab/stand_ins/server_stand_in.cpp
+++ b/lab/stand_ins/server_stand_in.cpp
@@ -155,8 +155,8 @@
     message.id = owner_->draws_.hex16();
     message.request_class = plan.name;
     message.time = left;
-    message.is_post = plan.effect != Effect::kSafe;
-    if (plan.effect == Effect::kKeyed) message.key = message.id;
+    message.is_post = plan.idempotency != Idempotency::kIdempotent;
+    if (plan.idempotency == Idempotency::kIdempotencyKey) message.key = message.id;
     Audit* audit = &owner_->audit_;
     const Clock* clock = &owner_->clock_;
     audit->call_sent(message.id, owner_->next_.node, class_, left, now);
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -130,12 +130,12 @@
     } else if (status == "draining") {
       member.server.state = ServerState::kDraining;
     } else if (status == "removed") {
-      member.server.state = ServerState::kGone;
+      member.server.state = ServerState::kRemoved;
     } else {
       json::wrong("status", "up, draining or removed");
     }
     // One that has gone needs no more than its name.
-    if (json::find(item, "address") != nullptr || member.server.state != ServerState::kGone) {
+    if (json::find(item, "address") != nullptr || member.server.state != ServerState::kRemoved) {
       const auto endpoint = parse_endpoint(json::text(item, "address"));
       if (!endpoint) json::wrong("address", "an address with a port");
       member.endpoint = *endpoint;
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -35,15 +35,15 @@
 
 const char* name_of(Outcome outcome) {
   switch (outcome) {
-    case Outcome::kDelivered:
+    case Outcome::kSucceeded:
       return "answered";
-    case Outcome::kError:
+    case Outcome::kServerError:
       return "error";
     case Outcome::kRejected:
       return "turned away";
     case Outcome::kTimedOut:
       return "timed out";
-    case Outcome::kDialFailed:
+    case Outcome::kConnectFailed:
       return "could not connect";
     case Outcome::kReset:
       return "reset";
@@ -103,8 +103,8 @@
   held.path = ", class " + std::to_string(event.request_class) + ", given " + milliseconds(event.time_left);
   held.time_left = event.time_left;
   held.until = std::numeric_limits<double>::infinity();
-  event.is_coming = held.message->rest != nullptr;
-  if (!event.is_coming) run_clock(id, held);
+  event.body_in_progress = held.message->rest != nullptr;
+  if (!event.body_in_progress) run_clock(id, held);
   event.time_left = std::max(0.0, event.time_left - margin_of(event.time_left));
   happen(std::move(event));
 }
@@ -137,7 +137,7 @@
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.over()) return;
   run_clock(id, at->second);
-  happen(RequestComplete{id});
+  happen(RequestBodyComplete{id});
 }
 
 void Dispatcher::client_gone(const std::string& id) {
@@ -147,7 +147,7 @@
   at->second.guard.reset();
   at->second.went_badly = true;
   at->second.path += ", its client left after " + milliseconds(clock_.now() - at->second.since);
-  happen(RequestGone{id});
+  happen(RequestCancelled{id});
   withdraw(id);
   settle(id);
 }
@@ -178,7 +178,7 @@
   std::set<std::string> named;
   for (const Member& member : update.members) {
     const std::string& name = member.server.address;
-    if (member.server.state == ServerState::kGone) {
+    if (member.server.state == ServerState::kRemoved) {
       upstream_.retire(name);
       listed_.erase(name);
     } else {
@@ -219,7 +219,7 @@
       const Member& member = at->second;
       upstream_.place(name, member.endpoint, member.server.started, is_usable(member));
     }
-    happen(ServerSwitched{name, enabled});
+    happen(ServerAdminStateChanged{name, enabled});
   }
   count_ready();
 }
@@ -280,7 +280,7 @@
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.over()) return body->leave();
   answer(at->second, {Answer::Kind::kServed, 0, std::move(head), std::move(body)});
-  happen(AnswerStarted{id, attempt, elapsed});
+  happen(ResponseStarted{id, attempt, elapsed});
 }
 
 void Dispatcher::attempt_ended(const std::string& id, int attempt, Outcome outcome, HttpResponse&& response,
@@ -289,7 +289,7 @@
   if (at == held_.end()) return;
   Held& held = at->second;
   held.open[static_cast<std::size_t>(attempt)] = false;
-  if (outcome == Outcome::kDelivered && !held.over()) {
+  if (outcome == Outcome::kSucceeded && !held.over()) {
     answer(held, {Answer::Kind::kServed, 0, std::move(response), nullptr});
   }
   AttemptResult event;
@@ -297,11 +297,11 @@
   event.attempt = attempt;
   event.outcome = outcome;
   event.elapsed = elapsed;
-  event.spent = !held.message->is_complete();
+  event.body_consumed = !held.message->is_complete();
   held.path += ", " + held.servers[static_cast<std::size_t>(attempt)] + " " + name_of(outcome) + " after " +
                milliseconds(event.elapsed);
-  held.went_badly |= outcome != Outcome::kDelivered;
-  event.request_done = held.over();
+  held.went_badly |= outcome != Outcome::kSucceeded;
+  event.request_completed = held.over();
   happen(std::move(event));
   settle(id);
 }
@@ -342,7 +342,7 @@
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.over()) return;
   answer(at->second, {Answer::Kind::kFailed, 0, {}, nullptr});
-  happen(RequestGone{id});
+  happen(RequestCancelled{id});
   withdraw(id);
   // The module cancels what it may; what is out besides ends by its own time-out, which lies before this
   // guard.
@@ -351,7 +351,7 @@
 
 // ---------------------------------------------------------------- actions
 
-void Dispatcher::perform(const Send& action) {
+void Dispatcher::perform(const StartAttempt& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end()) return;
   Held& held = at->second;
@@ -373,7 +373,7 @@
        }}));
 }
 
-void Dispatcher::perform(const Refuse& action) {
+void Dispatcher::perform(const Reject& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end() || at->second.over()) return;
   answer(at->second, {Answer::Kind::kRefused, action.retry_after, {}, nullptr});
@@ -387,7 +387,7 @@
   settle(action.id);
 }
 
-void Dispatcher::perform(const Cancel& action) {
+void Dispatcher::perform(const CancelAttempt& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end() || action.attempt < 0) return;
   const auto attempt = static_cast<std::size_t>(action.attempt);
@@ -395,13 +395,13 @@
 }
 
 void Dispatcher::perform(const SetTimer& action) {
-  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.at(action.at));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.at(action.due_at));
   timer->async_wait([this, timer, token = action.token](error_code cancelled) {
     if (!cancelled) happen(TimerFired{token});
   });
 }
 
-void Dispatcher::perform(const WatchMembers&) { watch_(); }
+void Dispatcher::perform(const WatchMembership&) { watch_(); }
 
 void Dispatcher::perform(const LogLine& action) { std::clog << action.text << '\n'; }
 
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -46,7 +46,7 @@
   bool has_list() const { return has_list_; }
   bool is_listed(const std::string& server) const { return listed_.contains(server); }
   std::size_t listed() const { return listed_.size(); }
-  std::size_t avoided() const { return balancer_.servers_avoided(clock_.now()); }
+  std::size_t avoided() const { return balancer_.unavailable_servers(clock_.now()); }
   // Other settings, which can be used: the module holds them valid.
   void replace(const Settings& settings, std::size_t max_open);
   // The servers that operators have taken out, listed or not.
@@ -103,12 +103,12 @@
   void log_path(const std::string& id, const Held& held);
   void overdue(const std::string& id);
 
-  void perform(const Send& action);
-  void perform(const Refuse& action);
+  void perform(const StartAttempt& action);
+  void perform(const Reject& action);
   void perform(const Fail& action);
-  void perform(const Cancel& action);
+  void perform(const CancelAttempt& action);
   void perform(const SetTimer& action);
-  void perform(const WatchMembers& action);
+  void perform(const WatchMembership& action);
   void perform(const LogLine& action);
 
   boost::asio::io_context& io_;
--- a/node/downstream/downstream_server.cpp
+++ b/node/downstream/downstream_server.cpp
@@ -816,7 +816,7 @@
   // may still take its time.
   double longest = 0;
   for (std::size_t i = 0; i < catalog_.in_force; ++i)
-    longest = std::max(longest, std::min(catalog_.classes[i].give_up, kMostDrain));
+    longest = std::max(longest, std::min(catalog_.classes[i].client_timeout, kMostDrain));
   dispatcher_.answer_all_within(kMostDrain + kLastAnswer);
   last_answer_ = Clock::Steady::now() + Clock::span(longest + kLastAnswer);
   const auto after = [this](double seconds, void (Frontend::*step)()) {
--- a/node/downstream/request_validation.cpp
+++ b/node/downstream/request_validation.cpp
@@ -35,9 +35,9 @@
 }
 
 bool is_same(const RequestClass& a, const RequestClass& b) {
-  return a.aim == b.aim && a.aim_stretch == b.aim_stretch && a.give_up == b.give_up &&
-         a.late_worth == b.late_worth && a.effect == b.effect && a.dedup_scope == b.dedup_scope &&
-         a.dedup_window == b.dedup_window;
+  return a.latency_objective == b.latency_objective && a.objective_growth == b.objective_growth &&
+         a.client_timeout == b.client_timeout && a.late_value == b.late_value &&
+         a.idempotency == b.idempotency && a.dedup_scope == b.dedup_scope && a.dedup_window == b.dedup_window;
 }
 
 // By the classes from one place up to another.
@@ -109,30 +109,30 @@
   event.id = *id;
 
   const RequestClass& c = catalog.classes[event.request_class];
-  event.time_left = c.give_up;
+  event.time_left = c.client_timeout;
   if (request.count("X-Timeout-Ms") > 0) {
     const auto text = only(request, "X-Timeout-Ms");
     const auto ms = text ? whole(*text) : std::nullopt;
     if (!ms || *ms == 0) return bad("X-Timeout-Ms is not a number of milliseconds");
     // Danger: whoever asks for days would hold a place for as long.
-    event.time_left = std::min(static_cast<double>(*ms) / 1000, c.give_up);
+    event.time_left = std::min(static_cast<double>(*ms) / 1000, c.client_timeout);
   }
 
   const auto key = only(request, "Idempotency-Key");
   const bool has_key = request.count("Idempotency-Key") > 0;
-  if (c.effect == Effect::kSafe) {
+  if (c.idempotency == Idempotency::kIdempotent) {
     if (request.method() != http::verb::get || !request.body().empty()) return bad("GET without a body only");
   } else if (request.method() != http::verb::post) {
     return bad("POST only");
   }
-  if (c.effect == Effect::kKeyed ? !key || key->empty() : has_key) {
+  if (c.idempotency == Idempotency::kIdempotencyKey ? !key || key->empty() : has_key) {
     return bad("Idempotency-Key does not fit the class");
   }
 
   const std::vector<std::string>& tenants = catalog.tenant_names;
   const auto tenant = std::find(tenants.begin(), tenants.end(), view(request["X-Tenant-Id"]));
   event.tenant = static_cast<std::size_t>(tenant - tenants.begin());  // past the end: untold traffic
-  event.is_repeat = request["X-Retried"] == "1";
+  event.is_client_retry = request["X-Retried"] == "1";
   constexpr double kMicroseconds = 1e-6;
   if (const auto cost = whole(view(request["X-Cost"]))) {
     event.work = static_cast<double>(*cost) * kMicroseconds;
--- a/node/upstream/upstream_client.cpp
+++ b/node/upstream/upstream_client.cpp
@@ -68,13 +68,13 @@
 Outcome outcome_of(const HttpResponse& answer) {
   switch (answer.result_int()) {
     case 200:
-      return Outcome::kDelivered;
+      return Outcome::kSucceeded;
     case 503:
     case 504:
       // Danger: without the mark it may be the word of a tier behind, and the request may have run.
-      return answer["X-Not-Processed"] == "1" ? Outcome::kRejected : Outcome::kError;
+      return answer["X-Not-Processed"] == "1" ? Outcome::kRejected : Outcome::kServerError;
     default:
-      return Outcome::kError;
+      return Outcome::kServerError;
   }
 }
 
@@ -189,7 +189,7 @@
   // Danger: another server may stand at its address by now, and take in what was meant for this one. The
   // module hears of the end after it has heard that the server is gone.
   const std::deque<std::shared_ptr<Attempt>> waiting = pool->waiting;
-  for (const std::shared_ptr<Attempt>& attempt : waiting) end_later(attempt, Outcome::kDialFailed);
+  for (const std::shared_ptr<Attempt>& attempt : waiting) end_later(attempt, Outcome::kConnectFailed);
 }
 
 Upstream::Handle Upstream::start(const std::string& server, const std::shared_ptr<const Outgoing>& request,
@@ -252,7 +252,7 @@
 // The one that has waited the longest for a connection gets none.
 void Upstream::fail_first(Pool& pool) {
   const std::shared_ptr<Attempt> first = pool.waiting.front();
-  finish(first, Outcome::kDialFailed, false);
+  finish(first, Outcome::kConnectFailed, false);
 }
 
 void Upstream::leave_queue(const Attempt& attempt) {
@@ -452,7 +452,7 @@
   timer.expires_at(until);
   timer.async_wait([&owner, alive = owner.alive_, self](error_code cancelled) {
     if (cancelled || !*alive || self->ended || self->body_out) return;
-    owner.finish(self, self->sent ? Outcome::kTimedOut : Outcome::kDialFailed, false);
+    owner.finish(self, self->sent ? Outcome::kTimedOut : Outcome::kConnectFailed, false);
   });
 }
 
@@ -491,7 +491,7 @@
   connection->socket.async_wait(tcp::socket::wait_read,
                                 [&owner, alive = owner.alive_, self, held = connection](error_code) {
                                   if (*alive && !self->ended && !self->sent)
-                                    owner.end_later(self, Outcome::kDialFailed);
+                                    owner.end_later(self, Outcome::kConnectFailed);
                                 });
   return false;
 }
@@ -515,21 +515,22 @@
       continue;
     }
     if (is_readable(connection->socket) || Clock::Steady::now() > send_until)
-      return owner.end_later(self, Outcome::kDialFailed);
+      return owner.end_later(self, Outcome::kConnectFailed);
     const ssize_t n = ::send(connection->socket.native_handle(), now.data() + written, now.size() - written,
                              MSG_DONTWAIT | MSG_NOSIGNAL);
     if (n > 0) {
       written += static_cast<std::size_t>(n);
     } else if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-      if (streamed) expect(owner, self, Outcome::kDialFailed);
+      if (streamed) expect(owner, self, Outcome::kConnectFailed);
       return connection->socket.async_wait(tcp::socket::wait_write, [&owner, alive = owner.alive_, self,
                                                                      held = connection](error_code problem) {
         if (!*alive || self->ended) return;
-        if (problem) return owner.finish(self, Outcome::kDialFailed, false);
+        if (problem) return owner.finish(self, Outcome::kConnectFailed, false);
         self->write(owner, self);
       });
     } else if (n == 0 || errno != EINTR) {
-      return owner.end_later(self, Outcome::kDialFailed);  // the last byte was not written: it can't have run
+      return owner.end_later(self,
+                             Outcome::kConnectFailed);  // the last byte was not written: it can't have run
     }
   }
   sent = true;
@@ -698,7 +699,7 @@
   HttpResponse answer;
   if (attempt->body_out) {
     attempt->body_out->break_off();  // unless it is whole
-  } else if (outcome == Outcome::kDelivered) {
+  } else if (outcome == Outcome::kSucceeded) {
     answer = attempt->head();
     answer.body() = std::move(attempt->body);
   }
--- a/node/upstream/upstream_client.h
+++ b/node/upstream/upstream_client.h
@@ -26,7 +26,7 @@
     std::size_t max_connections = 0;  // over all servers
   };
   // What is told of an attempt. `begun`, perhaps: a large answer has begun, and its body comes as the pipe
-  // gives it. `ended`, exactly once: how it ended, with the answer for kDelivered alone and only where it had
+  // gives it. `ended`, exactly once: how it ended, with the answer for kSucceeded alone and only where it had
   // not begun before. Both tell how long it took from when the request was sent, in s: up to its first bytes
   // where the answer had begun, else up to now. A request whose body was still coming is sent with its last
   // byte.
--- a/settings_json/settings_reader.cpp
+++ b/settings_json/settings_reader.cpp
@@ -76,15 +76,15 @@
 RequestClass read_class(const Value& in) {
   RequestClass out;
   if (find(in, "name") != nullptr) out.name = text(in, "name");
-  out.aim = number(in, "aim");
-  out.aim_stretch = number_or(in, "aimStretch", 0);
-  out.give_up = number(in, "giveUp");
-  out.late_worth = number_or(in, "lateWorth", 0);
-  const std::string_view effect = text(in, "effect");
-  if (effect == "safe") {
-    out.effect = Effect::kSafe;
-  } else if (effect == "keyed") {
-    out.effect = Effect::kKeyed;
+  out.latency_objective = number(in, "aim");
+  out.objective_growth = number_or(in, "aimStretch", 0);
+  out.client_timeout = number(in, "giveUp");
+  out.late_value = number_or(in, "lateWorth", 0);
+  const std::string_view idempotency = text(in, "effect");
+  if (idempotency == "safe") {
+    out.idempotency = Idempotency::kIdempotent;
+  } else if (idempotency == "keyed") {
+    out.idempotency = Idempotency::kIdempotencyKey;
     const std::string_view group = text(in, "group");
     if (group == "all") {
       out.dedup_scope = DedupScope::kAll;
@@ -96,10 +96,10 @@
       throw std::invalid_argument("categories[].group: '" + std::string(group) + "' is unknown");
     }
     out.dedup_window = number_or(in, "dedupWindow", 0);
-  } else if (effect == "unsafe") {
-    out.effect = Effect::kUnsafe;
+  } else if (idempotency == "unsafe") {
+    out.idempotency = Idempotency::kNonIdempotent;
   } else {
-    throw std::invalid_argument("categories[].effect: '" + std::string(effect) + "' is unknown");
+    throw std::invalid_argument("categories[].effect: '" + std::string(idempotency) + "' is unknown");
   }
   return out;
 }
@@ -108,34 +108,34 @@
 
 Settings read_settings(const Value& in) {
   Settings out;
-  out.copy_index = whole(in, "position");
-  out.copy_count = whole(in, "peersTotal");
+  out.replica_index = whole(in, "position");
+  out.replica_count = whole(in, "peersTotal");
   out.tier = whole_or(in, "stage", 0);
   out.zone = whole_or(in, "zone", 0);
-  out.tick = number_or(in, "granularity", 0);
+  out.clock_granularity = number_or(in, "granularity", 0);
   for (const Value& item : array(in, "categories").GetArray()) out.classes.push_back(read_class(item));
   if (find(in, "realms") != nullptr) {
     for (const Value& item : array(in, "realms").GetArray()) {
       Tenant tenant;
       if (find(item, "name") != nullptr) tenant.name = text(item, "name");
-      if (find(item, "allowancePerS") != nullptr) tenant.allowance = number(item, "allowancePerS");
+      if (find(item, "allowancePerS") != nullptr) tenant.quota = number(item, "allowancePerS");
       out.tenants.push_back(tenant);
     }
   }
-  out.over_share_worth = number_or(in, "overShareWorth", 1);
+  out.over_quota_weight = number_or(in, "overShareWorth", 1);
   const Value& bounds = need(in, "bounds");
   out.max_attempts = whole_or(bounds, "maxAttempts", 1);
-  out.second_copies = flag(bounds, "secondCopies");
+  out.allow_hedging = flag(bounds, "secondCopies");
   out.can_cancel = flag(bounds, "cancel");
   out.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
   out.must_watch = find(in, "registryMode") != nullptr && text(in, "registryMode") == "subscribe";
   if (const Value* rules = find(in, "rules")) {
-    out.ask_within = number_or(*rules, "askWithin", 0);
-    out.start_capacity = number_or(*rules, "startCapacity", 1);
-    out.ramp_time = number_or(*rules, "rampTime", 0);
-    out.tip_multiple = number_or(*rules, "tipMultiple", 0);
+    out.notification_deadline = number_or(*rules, "askWithin", 0);
+    out.initial_capacity = number_or(*rules, "startCapacity", 1);
+    out.slow_start_duration = number_or(*rules, "rampTime", 0);
+    out.overload_threshold = number_or(*rules, "tipMultiple", 0);
   }
-  if (const Value* fees = find(in, "fees")) out.cross_zone_price = number_or(*fees, "crossZone", 0);
+  if (const Value* fees = find(in, "fees")) out.cross_zone_cost = number_or(*fees, "crossZone", 0);
   return out;
 }
 
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -27,11 +27,11 @@
 using namespace ms::json;  // the field readers, named all over this file
 
 ms::Outcome read_outcome(std::string_view name) {
-  if (name == "delivered") return ms::Outcome::kDelivered;
-  if (name == "app_error") return ms::Outcome::kError;
+  if (name == "delivered") return ms::Outcome::kSucceeded;
+  if (name == "app_error") return ms::Outcome::kServerError;
   if (name == "shed") return ms::Outcome::kRejected;
   if (name == "expired") return ms::Outcome::kTimedOut;
-  if (name == "dial_failed") return ms::Outcome::kDialFailed;
+  if (name == "dial_failed") return ms::Outcome::kConnectFailed;
   if (name == "dropped") return ms::Outcome::kReset;
   if (name == "revoked") return ms::Outcome::kCancelled;
   if (name == "unused") return ms::Outcome::kNotSent;
@@ -51,7 +51,7 @@
   } else if (mode == "Terminating") {
     out.state = ms::ServerState::kDraining;
   } else if (mode == "Gone") {
-    out.state = ms::ServerState::kGone;
+    out.state = ms::ServerState::kRemoved;
   } else {
     wrong("mode", "Ready, Terminating or Gone");
   }
@@ -68,7 +68,7 @@
   out.time_left = number(in, "timeLeft");
   const int opts = whole_or(in, "opts", 0);
   if ((opts & kHintValid) != 0 && find(in, "cost") != nullptr) out.work = number(in, "cost");
-  out.is_repeat = (opts & kClientRepeats) != 0;
+  out.is_client_retry = (opts & kClientRepeats) != 0;
   return out;
 }
 
@@ -89,14 +89,14 @@
     out.Key(name);
     out.Double(value);
   }
-  void operator()(const ms::Send& a) const {
+  void operator()(const ms::StartAttempt& a) const {
     start("CALL_OUT");
     field("txn", a.id);
     field("server", a.server);
     field("patience", a.timeout);
     out.EndObject();
   }
-  void operator()(const ms::Refuse& a) const {
+  void operator()(const ms::Reject& a) const {
     start("SAY_NO");
     field("txn", a.id);
     if (a.retry_after > 0) field("notBeforeFor", a.retry_after);
@@ -107,7 +107,7 @@
     field("txn", a.id);
     out.EndObject();
   }
-  void operator()(const ms::Cancel& a) const {
+  void operator()(const ms::CancelAttempt& a) const {
     start("ABANDON");
     field("txn", a.id);
     out.Key("try");
@@ -116,12 +116,12 @@
   }
   void operator()(const ms::SetTimer& a) const {
     start("TIMER");
-    field("dueAt", a.at);
+    field("dueAt", a.due_at);
     out.Key("keyBack");
     out.Uint64(a.token);
     out.EndObject();
   }
-  void operator()(const ms::WatchMembers&) const {
+  void operator()(const ms::WatchMembership&) const {
     start("TAIL");
     out.Key("want");
     out.Bool(true);
@@ -219,11 +219,11 @@
                                flag(item, "doneFlag")};
     }
     if (kind == "FIRED") return ms::TimerFired{token(item, "keyBack")};
-    if (kind == "GONE") return ms::RequestGone{std::string(text(item, "txn"))};
+    if (kind == "GONE") return ms::RequestCancelled{std::string(text(item, "txn"))};
     if (kind == "DIRECTORY_UPDATE") return read_update(item);
     if (kind == "ACK_FIRST") {
-      return ms::AnswerStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
-                               number_or(item, "lag", 0)};
+      return ms::ResponseStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
+                                 number_or(item, "lag", 0)};
     }
     return std::nullopt;  // STATUS_BACK, MEMO and kinds of later wires: nothing here asks for them
   }
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -80,7 +80,7 @@
 
 // Which outcomes prove that an attempt never ran. Danger: taking an unknown end for harmless repeats effects.
 bool never_ran(Outcome outcome) {
-  return outcome == Outcome::kRejected || outcome == Outcome::kDialFailed || outcome == Outcome::kNotSent;
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
 // The answer time without queues, as a part of the aim: falls soon, rises slowly. Danger: the first answers
@@ -130,11 +130,11 @@
 
 // Evenly spaced starts on a ring: any two servers differ by at most one in how many copies use them, and a
 // server that leaves moves each start by one place at most.
-std::vector<std::size_t> subset_of(std::size_t copy_index, std::size_t copy_count, std::size_t servers,
+std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
                                    std::size_t size) {
   std::vector<std::size_t> out;
-  if (servers == 0 || copy_count == 0) return out;
-  const std::size_t start = copy_index * servers / copy_count;
+  if (servers == 0 || replica_count == 0) return out;
+  const std::size_t start = replica_index * servers / replica_count;
   for (std::size_t i = 0; i < std::min(size, servers); ++i) out.push_back((start + i) % servers);
   return out;
 }
@@ -143,7 +143,7 @@
  public:
   Impl(const Settings& settings, std::uint64_t seed) : random_(seed) {
     adopt(settings);
-    for (const RequestClass& c : settings.classes) aim_.add(c.aim, 0);
+    for (const RequestClass& c : settings.classes) aim_.add(c.latency_objective, 0);
   }
 
   void handle(double now, const Event& event, std::vector<Action>& actions) {
@@ -154,13 +154,13 @@
 
   std::size_t servers() const { return servers_.size() - unused_.size(); }
 
-  std::size_t servers_avoided(double now) const {
+  std::size_t unavailable_servers(double now) const {
     return static_cast<std::size_t>(std::count_if(servers_.begin(), servers_.end(), [&](const ServerNode& s) {
-      return s.told.state != ServerState::kGone && (s.banned || failing(s, now) >= kIll);
+      return s.told.state != ServerState::kRemoved && (s.banned || failing(s, now) >= kIll);
     }));
   }
 
-  TenantView view(double now, std::size_t tenant) const {
+  TenantStatistics view(double now, std::size_t tenant) const {
     const TenantState& t = *tenants_[std::min(tenant, tenants_.size() - 1)];
     const SlidingWindow::Sums sums = t.window.sums(now);
     return {t.limit, factor_of(t, sums), sums.total, sums.declined};
@@ -172,12 +172,15 @@
     validate(settings);
     settings_ = settings;
     settings_.classes.emplace_back();  // what is out of range lands here: unsafe, no aim of its own
-    settings_.classes.back().give_up = settings_.classes.back().aim = kForever;
+    settings_.classes.back().client_timeout = settings_.classes.back().latency_objective = kForever;
     settings_.tenants.emplace_back();
     std::vector<std::shared_ptr<ClassState>> classes;
     for (const RequestClass& told : settings_.classes) {
-      const double aim = std::min(told.aim, 60.0);
-      ClassState fresh{told, settings_.max_attempts, {aim / 4, aim / 8, 0}, {kQuickestGain, kQuickestMemory}};
+      const double latency_objective = std::min(told.latency_objective, 60.0);
+      ClassState fresh{told,
+                       settings_.max_attempts,
+                       {latency_objective / 4, latency_objective / 8, 0},
+                       {kQuickestGain, kQuickestMemory}};
       for (const auto& old : classes_) {
         if (told.name.empty() || old->told.name != told.name) continue;
         fresh.latency = old->latency;
@@ -205,10 +208,10 @@
 
   TenantState first_limit(const Tenant& told) const {
     TenantState t{told.name, {kBucket, kWindowBuckets, 10}};  // 10: 1000 ms, the short rate of the source
-    if (told.allowance) {
-      const double part = *told.allowance / settings_.copy_count;
+    if (told.quota) {
+      const double part = *told.quota / settings_.replica_count;
       t.floor = part * (settings_.tier == 0 ? kFloor : kDeepFloor);
-      t.worth = settings_.over_share_worth;
+      t.worth = settings_.over_quota_weight;
       t.limit = t.start = std::max(t.floor, part * kStartShare + kNoise * std::sqrt(part / kWindow));
     }
     return t;
@@ -269,7 +272,7 @@
     }
     if (unknown) servers_[it->second].order = hash_of(told.address);
     ServerNode& s = servers_[it->second];
-    if (unknown || told.started != s.told.started || s.told.state == ServerState::kGone) forget_process(s);
+    if (unknown || told.started != s.told.started || s.told.state == ServerState::kRemoved) forget_process(s);
     const auto ban = banned_.find(told.address);
     s.banned = ban != banned_.end();
     if (s.banned) s.banned_at = ban->second;
@@ -299,15 +302,15 @@
   // may go.
   void forget_if_gone(std::size_t at) {
     ServerNode& s = servers_[at];
-    if (s.told.state != ServerState::kGone || s.named > 0 || s.forgotten) return;
+    if (s.told.state != ServerState::kRemoved || s.named > 0 || s.forgotten) return;
     by_address_.erase(s.told.address);
     s.forgotten = true;
     unused_.push_back(at);
   }
 
   std::vector<std::size_t> own_part(const std::vector<std::size_t>& from, std::size_t cover) const {
-    const std::size_t index = static_cast<std::size_t>(settings_.copy_index);
-    const std::size_t count = static_cast<std::size_t>(settings_.copy_count);
+    const std::size_t index = static_cast<std::size_t>(settings_.replica_index);
+    const std::size_t count = static_cast<std::size_t>(settings_.replica_count);
     // Danger: a subset of fixed size leaves servers without any caller where copies are few.
     const std::size_t size = std::max(kSubset, (cover * from.size() + count - 1) / count);
     std::vector<std::size_t> out;
@@ -316,7 +319,7 @@
   }
 
   bool is_away(const ServerNode& s) const {
-    return settings_.cross_zone_price > 0 && s.told.zone != settings_.zone;
+    return settings_.cross_zone_cost > 0 && s.told.zone != settings_.zone;
   }
 
   void rebuild_subset() {
@@ -345,7 +348,7 @@
     for (const std::size_t i : usual) servers_[i].extra = false;
     subset_.insert(subset_.end(), others.begin(), others.end());
     usual_size_ = usual.size() + others.size();
-    sharers_ = std::max(1.0, static_cast<double>(settings_.copy_count) * static_cast<double>(usual_size_) /
+    sharers_ = std::max(1.0, static_cast<double>(settings_.replica_count) * static_cast<double>(usual_size_) /
                                  static_cast<double>(ring_.size()));
   }
 
@@ -425,14 +428,14 @@
   // The part of its full capacity that a server is sure to have by now.
   double warmth(const ServerNode& s) const {
     const bool long_ago = s.told.started == 0;
-    if ((long_ago && s.enabled_at == -kForever) || settings_.ramp_time <= 0) return 1;
+    if ((long_ago && s.enabled_at == -kForever) || settings_.slow_start_duration <= 0) return 1;
     // Danger: a server that was restarted while it was out and is taken to start with the call back gets less
     // than it can do, and the others more, just when the next one is taken out.
     const bool told = !long_ago && s.told.started > s.banned_at;
     const double started = told ? s.told.started : s.enabled_at;
     const double age = std::max(0.0, now_ - started);
-    return std::min(1.0,
-                    settings_.start_capacity + (1 - settings_.start_capacity) * age / settings_.ramp_time);
+    return std::min(1.0, settings_.initial_capacity +
+                             (1 - settings_.initial_capacity) * age / settings_.slow_start_duration);
   }
 
   // Whether a cold server's budget at this copy has room. Danger: all copies together can push a cold server
@@ -440,7 +443,8 @@
   bool budget_allows(ServerNode& s) {
     const double warm = warmth(s);
     if (warm >= 1) return true;
-    const double topples = settings_.tip_multiple > 0 ? kTipPart * settings_.tip_multiple : kForever;
+    const double topples =
+        settings_.overload_threshold > 0 ? kTipPart * settings_.overload_threshold : kForever;
     const double part = admitted_.at(now_) * s.cold_part * std::min(kColdBudget, topples);
     s.cold_tokens = std::min(1.0 + part * 0.1, s.cold_tokens + (now_ - s.cold_at) * part * warm);
     s.cold_at = now_;
@@ -462,15 +466,15 @@
   double busyness(const ServerNode& s) const {
     const double warm = s.in_flight == 0 && s.enabled_at > -kForever ? 1 : warmth(s);
     const double trust = std::pow(1 - std::min(failing(s), 0.99), kFailPower);
-    return (s.in_flight + 1) * pace(s) * (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_price : 1) /
+    return (s.in_flight + 1) * pace(s) * (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_cost : 1) /
            (s.told.weight * warm * trust);
   }
 
   bool in_scope(const Pending& p, const ServerNode& s) const {
     const RequestClass& c = p.rules->told;
     for (const Attempt& a : p.attempts) {
-      if (!a.may_have_run || c.effect == Effect::kSafe) continue;
-      if (c.effect == Effect::kUnsafe || now_ > a.sent + c.dedup_window) return false;
+      if (!a.may_have_run || c.idempotency == Idempotency::kIdempotent) continue;
+      if (c.idempotency == Idempotency::kNonIdempotent || now_ > a.sent + c.dedup_window) return false;
       const Server& t = servers_[a.server].told;
       if (c.dedup_scope == DedupScope::kZone && t.zone != s.told.zone) return false;
       if (c.dedup_scope == DedupScope::kCell && t.cell != s.told.cell) return false;
@@ -481,7 +485,7 @@
   // How long a further attempt of a keyed request may take to go out. Danger: one that waits for a connection
   // would be sent past the window that held when it was decided on.
   std::optional<double> send_within(const Pending& p) const {
-    if (p.rules->told.effect != Effect::kKeyed || !p.may_have_run()) return std::nullopt;
+    if (p.rules->told.idempotency != Idempotency::kIdempotencyKey || !p.may_have_run()) return std::nullopt;
     double out = kForever;
     for (const Attempt& a : p.attempts)
       if (a.may_have_run) out = std::min(out, a.sent + p.rules->told.dedup_window - now_);
@@ -528,7 +532,7 @@
     const double left = p.useful_until - now_;
     const Estimate& usual = p.rules->latency;
     const double longest = usual.mean + kDeviations * usual.deviation;
-    const bool can_repeat = p.rules->told.effect != Effect::kUnsafe &&
+    const bool can_repeat = p.rules->told.idempotency != Idempotency::kNonIdempotent &&
                             p.attempts.size() + 1 < static_cast<std::size_t>(p.rules->max_attempts);
     return can_repeat && left - longest > usual.mean ? longest : left;
   }
@@ -536,15 +540,16 @@
   // ---------------------------------------------------------------- again?
 
   bool worth_another(const Pending& p) const {
-    return !p.streaming && !p.spent && p.attempts.size() < static_cast<std::size_t>(p.rules->max_attempts) &&
-           retry_tokens_ >= 1 && p.useful_until - now_ > p.rules->latency.mean / 2;
+    return !p.streaming && !p.body_consumed &&
+           p.attempts.size() < static_cast<std::size_t>(p.rules->max_attempts) && retry_tokens_ >= 1 &&
+           p.useful_until - now_ > p.rules->latency.mean / 2;
   }
 
   // A refusal promises that a repeat is harmless: only when nothing can have run, or repeats are dropped.
   bool may_refuse(const Pending& p) const {
     const RequestClass& c = p.rules->told;
-    if (c.effect == Effect::kSafe) return true;
-    if (c.effect == Effect::kKeyed && c.dedup_scope == DedupScope::kAll) return true;
+    if (c.idempotency == Idempotency::kIdempotent) return true;
+    if (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll) return true;
     return !p.may_have_run();
   }
 
@@ -563,7 +568,7 @@
     // Danger: a body may take seconds to come, or an answer to go. Taken for work the server has in hand, a
     // few of them would take up what the tier may hold, and all others be refused.
     if (!p.coming) count(p.attempts.back());
-    out_->push_back(Send{id, s.told.address, limit, p.useful_until - now_, within});
+    out_->push_back(StartAttempt{id, s.told.address, limit, p.useful_until - now_, within});
     return true;
   }
 
@@ -587,7 +592,7 @@
   void answer_unserved(const std::string& id, Pending& p) {
     p.finished = true;
     if (!may_refuse(p)) return out_->push_back(Fail{id});
-    out_->push_back(Refuse{id, settings_.max_retry_after / 2});
+    out_->push_back(Reject{id, settings_.max_retry_after / 2});
   }
 
   void note_shed(int& count) {
@@ -611,14 +616,14 @@
   void cancel_open(const std::string& id, const Pending& p) {
     if (!settings_.can_cancel || p.streaming) return;
     for (std::size_t i = 0; i < p.attempts.size(); ++i) {
-      if (p.attempts[i].open) out_->push_back(Cancel{id, static_cast<int>(i)});
+      if (p.attempts[i].open) out_->push_back(CancelAttempt{id, static_cast<int>(i)});
     }
   }
 
   // ---------------------------------------------------------------- events
 
   void on(const Started&) {
-    if (settings_.must_watch) out_->push_back(WatchMembers{});
+    if (settings_.must_watch) out_->push_back(WatchMembership{});
   }
 
   void on(const Request& r) {
@@ -626,7 +631,7 @@
     const std::shared_ptr<TenantState>& tenant = tenants_[std::min(r.tenant, tenants_.size() - 1)];
     const bool within_share = is_within_share(*tenant);
     if (!admits(*tenant)) {
-      out_->push_back(Refuse{r.id, settings_.max_retry_after / 2});
+      out_->push_back(Reject{r.id, settings_.max_retry_after / 2});
       note_shed(denied_);
       return;
     }
@@ -635,7 +640,7 @@
     // Guards against work for calls that come too late: they would cost a server its time and end in a
     // time-out.
     if (r.time_left < rules->quickest.at(now_)) {
-      out_->push_back(Refuse{r.id, settings_.max_retry_after / 2});
+      out_->push_back(Reject{r.id, settings_.max_retry_after / 2});
       return;
     }
     admitted_.add(now_);
@@ -643,12 +648,16 @@
     Pending& p = it->second;
     p.tenant = tenant;
     p.rules = rules;
-    if (std::isfinite(c.aim)) aim_.add(std::min(c.aim, c.give_up), kLatencyGain);
-    const double aim = std::min(c.aim + c.aim_stretch * r.work.value_or(0), c.give_up);
-    p.useful_until = now_ + std::min(r.time_left, c.late_worth > 0 ? r.time_left : aim - 2 * settings_.tick);
+    if (std::isfinite(c.latency_objective))
+      aim_.add(std::min(c.latency_objective, c.client_timeout), kLatencyGain);
+    const double latency_objective =
+        std::min(c.latency_objective + c.objective_growth * r.work.value_or(0), c.client_timeout);
+    p.useful_until =
+        now_ + std::min(r.time_left,
+                        c.late_value > 0 ? r.time_left : latency_objective - 2 * settings_.clock_granularity);
     p.within_share = within_share;
     p.taken = now_;
-    p.coming = r.is_coming;
+    p.coming = r.body_in_progress;
     if (send(r.id, p)) return;
     review(*tenant, true);
     note_shed(unplaced_);
@@ -664,16 +673,16 @@
     Attempt& a = p.attempts[static_cast<std::size_t>(r.attempt)];
     if (!a.open) return;
     a.open = false;
-    p.spent |= r.spent;
+    p.body_consumed |= r.body_consumed;
     a.may_have_run = !never_ran(r.outcome);
     ServerNode& s = servers_[a.server];
     discount(a);
     if (!a.learned) {
       learn_from(p, s, r);
-    } else if (r.outcome != Outcome::kDelivered && r.outcome != Outcome::kCancelled) {
+    } else if (r.outcome != Outcome::kSucceeded && r.outcome != Outcome::kCancelled) {
       note_health(s, false);
     }
-    if (r.request_done && !p.finished) {
+    if (r.request_completed && !p.finished) {
       p.finished = true;
       cancel_open(r.id, p);
     }
@@ -684,15 +693,15 @@
   void learn_from(const Pending& p, ServerNode& s, const AttemptResult& r) {
     const bool was_well = failing(s) < kIll;
     if (r.outcome == Outcome::kCancelled || r.outcome == Outcome::kNotSent) return;
-    const bool answered = r.outcome == Outcome::kDelivered;
+    const bool answered = r.outcome == Outcome::kSucceeded;
     Estimate& latency = p.rules->latency;
     // Danger: a time-out that the caller cut short tells of the caller. At the mean a good server is late
     // half of the time, a deviation past it seldom.
     const double past = (r.elapsed - latency.mean) / std::max(1e-9, latency.deviation);
     const double weight = r.outcome == Outcome::kTimedOut ? std::clamp((past + 1) / 2, 0.0, 1.0) : 1;
     if (r.outcome != Outcome::kRejected) note_health(s, answered, weight);
-    const double aim = p.rules->told.aim;
-    const double part_of_aim = aim > 0 ? r.elapsed / aim : 0;
+    const double latency_objective = p.rules->told.latency_objective;
+    const double part_of_aim = latency_objective > 0 ? r.elapsed / latency_objective : 0;
     if (answered) {
       s.answered.add(now_);
       answered_.add(now_);
@@ -708,7 +717,7 @@
       s.pace.add(latency.mean > 0 ? std::max(told, r.elapsed) / latency.mean : 1, kPaceGain);
       s.paced_at = now_;
       usual_.add(told, kLatencyGain);
-      recent_.add(aim > 0 ? told / aim : 0, kRecentGain);
+      recent_.add(latency_objective > 0 ? told / latency_objective : 0, kRecentGain);
       latency.add(told, kLatencyGain);
       if (answered) p.rules->quickest.add(now_, r.elapsed);
     }
@@ -722,11 +731,11 @@
     // As the design has it, failures cut and answers in time raise a limit; one sick server cuts no tenant.
     // Danger: an error or a spoilt answer tells of a server, not of a crowd, and comes at any load.
     const bool crowd = r.outcome == Outcome::kRejected || r.outcome == Outcome::kTimedOut ||
-                       r.outcome == Outcome::kDialFailed;
+                       r.outcome == Outcome::kConnectFailed;
     if (answered ? part_of_aim < kInTime : was_well && crowd) review(*p.tenant, !answered);
   }
 
-  void on(const AnswerStarted& r) {
+  void on(const ResponseStarted& r) {
     const auto it = pending_.find(r.id);
     if (it == pending_.end()) return;
     Pending& p = it->second;
@@ -735,10 +744,10 @@
     Attempt& a = p.attempts[static_cast<std::size_t>(r.attempt)];
     if (!a.open || std::exchange(a.learned, true)) return;
     discount(a);
-    learn_from(p, servers_[a.server], {r.id, r.attempt, Outcome::kDelivered, r.elapsed});
+    learn_from(p, servers_[a.server], {r.id, r.attempt, Outcome::kSucceeded, r.elapsed});
   }
 
-  void on(const RequestComplete& r) {
+  void on(const RequestBodyComplete& r) {
     const auto it = pending_.find(r.id);
     if (it == pending_.end() || !std::exchange(it->second.coming, false)) return;
     Pending& p = it->second;
@@ -748,7 +757,7 @@
     }
   }
 
-  void on(const RequestGone& r) {
+  void on(const RequestCancelled& r) {
     const auto it = pending_.find(r.id);
     if (it == pending_.end()) return;
     if (!it->second.finished) cancel_open(r.id, it->second);
@@ -761,7 +770,7 @@
       if (!settings_.must_watch) return;
       // Danger: what discovery has while a call hangs counts as told soon: one that hung long leaves less
       // pause.
-      const double most = settings_.ask_within > 0 ? settings_.ask_within / 2 : 5;
+      const double most = settings_.notification_deadline > 0 ? settings_.notification_deadline / 2 : 5;
       const double pause = std::min(rewatch_, std::max(asked_at_ + kAskApart - now_, kRewatch));
       asked_at_ = now_ + std::min(pause, most) * (0.5 + random_.unit() / 2);
       out_->push_back(SetTimer{asked_at_, ++watch_timer_});
@@ -774,7 +783,7 @@
     for (const Server& told : update.servers) learn(told);
     if (update.form == MembershipUpdate::Form::kFull) {
       for (ServerNode& s : servers_) {
-        if (s.listed != listing_) s.told.state = ServerState::kGone;
+        if (s.listed != listing_) s.told.state = ServerState::kRemoved;
       }
     }
     for (std::size_t i = 0; i < servers_.size(); ++i) forget_if_gone(i);
@@ -783,7 +792,7 @@
 
   // Danger: a server is restarted while it is out, and the list may tell of that late or not at all. Taken
   // for warm it would be pushed over.
-  void on(const ServerSwitched& e) {
+  void on(const ServerAdminStateChanged& e) {
     if (!(e.enabled ? banned_.erase(e.address) > 0 : banned_.try_emplace(e.address, now_).second)) return;
     const auto at = by_address_.find(e.address);
     if (at == by_address_.end()) return;
@@ -801,12 +810,12 @@
     const bool watched = settings_.must_watch;
     adopt(e.settings);
     rewatch_ = kRewatch;  // discovery may be another
-    if (settings_.must_watch && !watched) out_->push_back(WatchMembers{});
+    if (settings_.must_watch && !watched) out_->push_back(WatchMembership{});
     rebuild_subset();
   }
 
   void on(const TimerFired& timer) {
-    if (timer.token == watch_timer_ && settings_.must_watch) out_->push_back(WatchMembers{});
+    if (timer.token == watch_timer_ && settings_.must_watch) out_->push_back(WatchMembership{});
   }
 
   Settings settings_;
@@ -850,8 +859,8 @@
 
 std::size_t Balancer::servers() const { return impl_->servers(); }
 
-std::size_t Balancer::servers_avoided(double now) const { return impl_->servers_avoided(now); }
+std::size_t Balancer::unavailable_servers(double now) const { return impl_->unavailable_servers(now); }
 
-TenantView Balancer::tenant(double now, std::size_t tenant) const { return impl_->view(now, tenant); }
+TenantStatistics Balancer::tenant(double now, std::size_t tenant) const { return impl_->view(now, tenant); }
 
 }  // namespace nettleyoke
--- a/src/support.h
+++ b/src/support.h
@@ -152,7 +152,7 @@
   double useful_until = 0;  // when the answer becomes worthless
   double taken = 0;         // when it came
   std::vector<Attempt> attempts;
-  bool finished = false, streaming = false, spent = false, within_share = false, coming = false;
+  bool finished = false, streaming = false, body_consumed = false, within_share = false, coming = false;
 
   bool any_open() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.open; });
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -8,9 +8,9 @@
 int main() {
   nettleyoke::Settings settings;
   nettleyoke::RequestClass lookup;
-  lookup.aim = 0.5;
-  lookup.give_up = 2;
-  lookup.effect = nettleyoke::Effect::kSafe;
+  lookup.latency_objective = 0.5;
+  lookup.client_timeout = 2;
+  lookup.idempotency = nettleyoke::Idempotency::kIdempotent;
   settings.classes = {lookup};
   settings.max_attempts = 3;
 
@@ -21,7 +21,7 @@
   balancer.handle(0.0, members, actions);
   balancer.handle(0.1, nettleyoke::Request{.id = "r1", .time_left = 2}, actions);
   for (const nettleyoke::Action& action : actions) {
-    if (const auto* send = std::get_if<nettleyoke::Send>(&action)) {
+    if (const auto* send = std::get_if<nettleyoke::StartAttempt>(&action)) {
       std::cout << send->id << " -> " << send->server << ", time-out " << send->timeout << " s\n";
       return 0;
     }
--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -22,7 +22,7 @@
   out.max_attempts = 1;  // so that a machine that is slow changes no count
   ClassPlan look;
   look.name = "look";
-  look.aim = look.give_up = 30;
+  look.latency_objective = look.client_timeout = 30;
   look.work = 0.0005;
   out.classes = {look};
   out.tenants = {{"acme", 1, 0}};
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -16,11 +16,11 @@
 
 // ---------------------------------------------------------------- the rules
 
-ClassPlan kind(Effect effect) {
+ClassPlan kind(Idempotency idempotency) {
   ClassPlan out;
   out.name = "look";
-  out.effect = effect;
-  out.give_up = 2;
+  out.idempotency = idempotency;
+  out.client_timeout = 2;
   out.dedup_window = 1;
   out.work = 0.0001;
   return out;
@@ -28,7 +28,11 @@
 
 // One node, two servers and a call of each effect: classes 0, 1, 2.
 struct Rules : testing::Test {
-  Audit audit{{0.5, 0.5, false, {kind(Effect::kSafe), kind(Effect::kKeyed), kind(Effect::kUnsafe)}}};
+  Audit audit{{0.5,
+               0.5,
+               false,
+               {kind(Idempotency::kIdempotent), kind(Idempotency::kIdempotencyKey),
+                kind(Idempotency::kNonIdempotent)}}};
   std::size_t node = audit.add_node("n0"), first = audit.add_server("s0"), second = audit.add_server("s1");
   Audit::AttemptNumber number = 0;
   bool open = true;
@@ -118,10 +122,11 @@
 
 struct StandIns : testing::Test {
   node::Clock clock;
-  Audit audit{{0.5, 0.5, false, {kind(Effect::kSafe)}}};
+  Audit audit{{0.5, 0.5, false, {kind(Idempotency::kIdempotent)}}};
   std::size_t number = audit.add_node("n0");
   Loop loop;
-  ServerStandIn server{loop.io(), clock, audit, "s0", {1, 1, 0, 1, 0}, {2, 60}, {kind(Effect::kSafe)}, 1};
+  ServerStandIn server{
+      loop.io(), clock, audit, "s0", {1, 1, 0, 1, 0}, {2, 60}, {kind(Idempotency::kIdempotent)}, 1};
   Agent agent{loop.io(), clock, audit, number, true};
   Catalog catalog;
 
@@ -326,7 +331,7 @@
   const node::Clock clock;
   Experiment experiment;
   experiment.seconds = 0.2;
-  experiment.classes = {kind(Effect::kSafe), kind(Effect::kKeyed)};
+  experiment.classes = {kind(Idempotency::kIdempotent), kind(Idempotency::kIdempotencyKey)};
   experiment.tenants = {{"acme", 1, 0}, {"birch", 3, 0}};
   Audit audit({0.5, 0.5, false, experiment.classes});
   audit.add_node("n0");
--- a/tests/unit/balancer_harness.h
+++ b/tests/unit/balancer_harness.h
@@ -10,17 +10,17 @@
 
 namespace nettleyoke {
 
-inline RequestClass class_of(Effect effect, DedupScope scope = DedupScope::kCell) {
+inline RequestClass class_of(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
   RequestClass c;
-  c.aim = 2;
-  c.give_up = 6;
-  c.effect = effect;
+  c.latency_objective = 2;
+  c.client_timeout = 6;
+  c.idempotency = idempotency;
   c.dedup_scope = scope;
   c.dedup_window = 4;
   return c;
 }
 
-inline Settings basic_settings(RequestClass c = class_of(Effect::kSafe)) {
+inline Settings basic_settings(RequestClass c = class_of(Idempotency::kIdempotent)) {
   Settings s;
   s.classes = {c};
   s.max_attempts = 4;
@@ -45,7 +45,7 @@
 
 // By the rules' own table of outcomes, for the checkers.
 inline bool proves_unrun(Outcome o) {
-  return o == Outcome::kRejected || o == Outcome::kDialFailed || o == Outcome::kNotSent;
+  return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
 
 struct Copy {
@@ -66,7 +66,7 @@
     return at(now, r);
   }
   std::vector<Action> end(const std::string& id, Outcome outcome, int attempt = 0, double elapsed = 0.1) {
-    return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kDelivered});
+    return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSucceeded});
   }
 
   Balancer balancer;
--- a/tests/unit/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -93,9 +93,9 @@
 
   std::unique_ptr<Node> node(int tier, int index, int count) {
     Settings s = basic_settings();
-    s.classes[0].aim = s.classes[0].give_up = chain_.deadline;
-    s.copy_index = index;
-    s.copy_count = count;
+    s.classes[0].latency_objective = s.classes[0].client_timeout = chain_.deadline;
+    s.replica_index = index;
+    s.replica_count = count;
     s.tier = tier;
     auto out = std::make_unique<Node>();
     out->tier = tier;
@@ -141,20 +141,20 @@
   }
 
   void result(Node& at, const std::string& id, int attempt, Outcome outcome, double sent) {
-    const bool served = outcome == Outcome::kDelivered;
+    const bool served = outcome == Outcome::kSucceeded;
     if (served) end(at, id, true);
     perform(at, at.copy->at(now_, AttemptResult{id, attempt, outcome, now_ - sent, !at.calls.contains(id)}));
   }
 
   void perform(Node& at, const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      if (const auto* r = std::get_if<Refuse>(&action)) end(at, r->id, false);
+      if (const auto* r = std::get_if<Reject>(&action)) end(at, r->id, false);
       if (const auto* f = std::get_if<Fail>(&action)) end(at, f->id, false);
-      if (const auto* s = std::get_if<Send>(&action)) send(at, *s);
+      if (const auto* s = std::get_if<StartAttempt>(&action)) send(at, *s);
     }
   }
 
-  void send(Node& at, const Send& s) {
+  void send(Node& at, const StartAttempt& s) {
     const int attempt = at.calls.at(s.id).attempts++;
     const auto over = std::make_shared<bool>(false);
     const double sent = now_, until = now_ + s.deadline;
@@ -165,7 +165,7 @@
     Machine& to =
         servers_[static_cast<std::size_t>(at.tier * chain_.servers + std::stoi(s.server.substr(1)))];
     to.queue.push_back(
-        {until, [report](bool good) { report(good ? Outcome::kDelivered : Outcome::kError); }});
+        {until, [report](bool good) { report(good ? Outcome::kSucceeded : Outcome::kServerError); }});
     work(to);
   }
 
@@ -232,7 +232,7 @@
     for (int i = 0; i < 100; ++i) {
       now += 0.2;
       request("q" + std::to_string(i));
-      end("q" + std::to_string(i), Outcome::kDelivered, 0, i % 2 == 0 ? 0.05 : 0.15);
+      end("q" + std::to_string(i), Outcome::kSucceeded, 0, i % 2 == 0 ? 0.05 : 0.15);
     }
   }
   std::vector<Action> hurried(const std::string& id, double time_left) {
@@ -242,26 +242,26 @@
 
 TEST(Deadlines, ServersAreToldWhatIsLeftAndNotHowLongTheyAreWaitedFor) {
   Learned copy;
-  const Send sent = all<Send>(copy.request("r")).at(0);
+  const StartAttempt sent = all<StartAttempt>(copy.request("r")).at(0);
   EXPECT_LT(sent.timeout, 0.6);
   EXPECT_NEAR(sent.deadline, 2, 1e-9);  // the aim
   copy.now += sent.timeout;
-  const Send again = all<Send>(copy.end("r", Outcome::kTimedOut, 0, sent.timeout)).at(0);
+  const StartAttempt again = all<StartAttempt>(copy.end("r", Outcome::kTimedOut, 0, sent.timeout)).at(0);
   EXPECT_NEAR(again.deadline, 2 - sent.timeout, 1e-9);
 }
 
 TEST(Deadlines, ATimeOutThatTheCallerCutShortTellsOfNoServer) {
   Learned copy;
-  const double before = all<Send>(copy.request("before")).at(0).timeout;
+  const double before = all<StartAttempt>(copy.request("before")).at(0).timeout;
   for (int i = 0; i < 40; ++i) {
     copy.now += 0.2;
     const std::string id = "h" + std::to_string(i);
-    ASSERT_EQ(all<Send>(copy.hurried(id, 0.06)).size(), 1U);
+    ASSERT_EQ(all<StartAttempt>(copy.hurried(id, 0.06)).size(), 1U);
     copy.now += 0.06;
     copy.end(id, Outcome::kTimedOut, 0, 0.06);
   }
-  EXPECT_GE(all<Send>(copy.request("after")).at(0).timeout, before);
-  EXPECT_EQ(copy.balancer.servers_avoided(copy.now), 0U);
+  EXPECT_GE(all<StartAttempt>(copy.request("after")).at(0).timeout, before);
+  EXPECT_EQ(copy.balancer.unavailable_servers(copy.now), 0U);
 }
 
 TEST(Deadlines, ATimeOutThatHadItsTimeTellsOfItsServer) {
@@ -272,17 +272,17 @@
     copy.now += 0.4;
     copy.end(id, Outcome::kTimedOut, 0, 0.4);
   }
-  EXPECT_GT(copy.balancer.servers_avoided(copy.now), 0U);
+  EXPECT_GT(copy.balancer.unavailable_servers(copy.now), 0U);
 }
 
 TEST(Deadlines, ACallThatCanNotBeAnsweredAnyMoreCostsNoServer) {
   Learned copy;
   const auto late = copy.hurried("late", 0.03);
-  EXPECT_TRUE(all<Send>(late).empty());
-  EXPECT_EQ(all<Refuse>(late).size(), 1U);
-  EXPECT_EQ(all<Send>(copy.hurried("in time", 0.06)).size(), 1U);
+  EXPECT_TRUE(all<StartAttempt>(late).empty());
+  EXPECT_EQ(all<Reject>(late).size(), 1U);
+  EXPECT_EQ(all<StartAttempt>(copy.hurried("in time", 0.06)).size(), 1U);
   copy.now += 10;  // servers may be quicker by now
-  EXPECT_EQ(all<Send>(copy.hurried("later", 0.03)).size(), 1U);
+  EXPECT_EQ(all<StartAttempt>(copy.hurried("later", 0.03)).size(), 1U);
 }
 
 }  // namespace
--- a/tests/unit/fleet_slow_start_test.cpp
+++ b/tests/unit/fleet_slow_start_test.cpp
@@ -110,11 +110,11 @@
 
   void start(std::size_t c) {
     Settings s = basic_settings();
-    s.copy_count = play_.copies;
-    s.copy_index = static_cast<int>(c);
-    s.start_capacity = kStartCapacity;
-    s.ramp_time = kRamp;
-    s.tip_multiple = kTipMultiple;
+    s.replica_count = play_.copies;
+    s.replica_index = static_cast<int>(c);
+    s.initial_capacity = kStartCapacity;
+    s.slow_start_duration = kRamp;
+    s.overload_threshold = kTipMultiple;
     copies_.resize(copies());
     copies_[c] = std::make_unique<Copy>(s, play_.seed * 1000 + c);
     copies_[c]->at(now_, list(now_ >= kTold));
@@ -129,7 +129,7 @@
 
   void switch_all(std::size_t c, bool enabled) {
     for (std::size_t n = 0; n < servers() && is_cold(n); ++n) {
-      copies_[c]->at(now_, ServerSwitched{server(static_cast<int>(n)).address, enabled});
+      copies_[c]->at(now_, ServerAdminStateChanged{server(static_cast<int>(n)).address, enabled});
     }
   }
 
@@ -142,16 +142,16 @@
   }
 
   void follow(std::size_t c, const std::vector<Action>& actions, int attempt) {
-    for (const Send& send : all<Send>(actions)) {
+    for (const StartAttempt& send : all<StartAttempt>(actions)) {
       const auto n = static_cast<std::size_t>(std::stoul(send.server.substr(1)));
       const double ends = serve(n), late = now_ + send.timeout;
-      const Outcome outcome = fails(n)      ? Outcome::kDialFailed
+      const Outcome outcome = fails(n)      ? Outcome::kConnectFailed
                               : ends < 0    ? Outcome::kRejected
-                              : ends < late ? Outcome::kDelivered
+                              : ends < late ? Outcome::kSucceeded
                                             : Outcome::kTimedOut;
       const double then = ends < 0 ? now_ + 0.005 : std::min(ends, late), sent = now_;
       at(then, [this, c, attempt, outcome, sent, id = send.id] {
-        const bool done = outcome == Outcome::kDelivered;
+        const bool done = outcome == Outcome::kSucceeded;
         follow(c, copies_[c]->at(now_, AttemptResult{id, attempt, outcome, now_ - sent, done}), attempt + 1);
       });
     }
@@ -254,8 +254,8 @@
     for (int i = 0; i < 2000; ++i) {
       copy.now += 0.02;
       const std::string id = std::to_string(i);
-      sent += static_cast<double>(all<Send>(copy.request(id)).size());
-      copy.end(id, Outcome::kDelivered);
+      sent += static_cast<double>(all<StartAttempt>(copy.request(id)).size());
+      copy.end(id, Outcome::kSucceeded);
     }
     return sent / 2000;
   };
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -22,10 +22,11 @@
   for (int i = 0; i < static_cast<int>(seconds * rate); ++i) {
     copy.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<StartAttempt>(copy.request(id));
     if (!sends.empty()) ++firsts[sends[0].server];
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = all<Send>(copy.end(id, sends[0].server == sick ? outcome : Outcome::kDelivered, attempt));
+      sends =
+          all<StartAttempt>(copy.end(id, sends[0].server == sick ? outcome : Outcome::kSucceeded, attempt));
     }
   }
   return firsts;
@@ -35,9 +36,9 @@
 TEST(Health, AFastFailingServerIsShunnedAndComesBack) {
   Copy copy(roomy_settings());
   copy.at(0, members(6));
-  const auto ill = play(copy, "s2", Outcome::kError, 0, 10, 50, "a");
+  const auto ill = play(copy, "s2", Outcome::kServerError, 0, 10, 50, "a");
   EXPECT_LT(ill.at("s2"), 25);
-  const auto back = play(copy, "", Outcome::kDelivered, 10, 30, 50, "b");
+  const auto back = play(copy, "", Outcome::kSucceeded, 10, 30, 50, "b");
   EXPECT_GT(back.at("s2"), 100);
 }
 
@@ -49,10 +50,10 @@
   for (int i = 0; i < 200; ++i) {
     copy.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<StartAttempt>(copy.request(id));
     sent += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt)
-      sends = all<Send>(copy.end(id, Outcome::kError, attempt));
+      sends = all<StartAttempt>(copy.end(id, Outcome::kServerError, attempt));
   }
   EXPECT_EQ(sent, 200);
 }
@@ -65,10 +66,10 @@
   for (int i = 0; i < 300; ++i) {
     copy.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<StartAttempt>(copy.request(id));
     firsts += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = all<Send>(copy.end(id, Outcome::kError, attempt));
+      sends = all<StartAttempt>(copy.end(id, Outcome::kServerError, attempt));
       others += static_cast<int>(sends.size());
     }
   }
@@ -81,12 +82,12 @@
 TEST(Health, AClusterOfFailuresIsTriedAgain) {
   Copy copy(roomy_settings());
   copy.at(0, members(6));
-  play(copy, "", Outcome::kDelivered, 0, 10, 20, "calm");
+  play(copy, "", Outcome::kSucceeded, 0, 10, 20, "calm");
   for (int i = 0; i < 4; ++i) {
     const std::string id = "reset" + std::to_string(i);
-    ASSERT_EQ(all<Send>(copy.request(id)).size(), 1U);
-    EXPECT_EQ(all<Send>(copy.end(id, Outcome::kReset)).size(), 1U) << i;
-    copy.end(id, Outcome::kDelivered, 1);
+    ASSERT_EQ(all<StartAttempt>(copy.request(id)).size(), 1U);
+    EXPECT_EQ(all<StartAttempt>(copy.end(id, Outcome::kReset)).size(), 1U) << i;
+    copy.end(id, Outcome::kSucceeded, 1);
   }
 }
 
@@ -98,11 +99,11 @@
   const auto let = [&copy](int i, bool stuck) {
     copy.now = i * 0.02;
     const std::string id = std::to_string(i);
-    const auto sends = all<Send>(copy.request(id));
+    const auto sends = all<StartAttempt>(copy.request(id));
     if (sends.empty()) return 0.0;
-    copy.end(id, stuck ? Outcome::kTimedOut : Outcome::kDelivered, 0,
+    copy.end(id, stuck ? Outcome::kTimedOut : Outcome::kSucceeded, 0,
              stuck ? sends[0].timeout : 0.08 + 0.04 * (i % 2));
-    if (stuck) copy.end(id, Outcome::kDelivered, 1);
+    if (stuck) copy.end(id, Outcome::kSucceeded, 1);
     return sends[0].timeout;
   };
   for (int i = 0; i < 500; ++i) let(i, false);
@@ -132,15 +133,15 @@
       const auto [at, call] = *ends.begin();
       ends.erase(ends.begin());
       copy.now = at;
-      const Outcome outcome = call.stuck ? Outcome::kTimedOut : Outcome::kDelivered;
-      const auto again = all<Send>(copy.end(call.id, outcome, 0, call.lasts));
-      if (!again.empty()) copy.end(call.id, Outcome::kDelivered, 1);
+      const Outcome outcome = call.stuck ? Outcome::kTimedOut : Outcome::kSucceeded;
+      const auto again = all<StartAttempt>(copy.end(call.id, outcome, 0, call.lasts));
+      if (!again.empty()) copy.end(call.id, Outcome::kSucceeded, 1);
     }
     copy.now = now;
     const std::string id = std::to_string(i);
     const auto actions = copy.request(id);
-    refused += static_cast<int>(all<Refuse>(actions).size());
-    for (const Send& send : all<Send>(actions)) {
+    refused += static_cast<int>(all<Reject>(actions).size());
+    for (const StartAttempt& send : all<StartAttempt>(actions)) {
       const bool stuck = i >= 1000 && i % 8 == 0;
       const double lasts = stuck ? send.timeout : 0.02 + 0.1 * (i % 3);
       ends.emplace(now + lasts, Call{id, stuck, lasts});
@@ -152,8 +153,8 @@
 TEST(Health, AFurtherAttemptGoesElsewhere) {
   Copy copy(basic_settings());
   copy.at(0, members(3));
-  const auto first = all<Send>(copy.request("r"));
-  const auto second = all<Send>(copy.end("r", Outcome::kReset));
+  const auto first = all<StartAttempt>(copy.request("r"));
+  const auto second = all<StartAttempt>(copy.end("r", Outcome::kReset));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(first[0].server, second[0].server);
 }
@@ -167,8 +168,8 @@
   for (int i = 0; i < 300; ++i) {
     copy.now = i * 0.01;
     const auto actions = copy.request(std::to_string(i));
-    sent += static_cast<int>(all<Send>(actions).size());
-    refused += static_cast<int>(all<Refuse>(actions).size());
+    sent += static_cast<int>(all<StartAttempt>(actions).size());
+    refused += static_cast<int>(all<Reject>(actions).size());
   }
   EXPECT_EQ(sent + refused, 300);
   EXPECT_GT(sent, 3);
@@ -180,12 +181,12 @@
   std::map<std::string, int> held;
   for (int index = 0; index < 8; ++index) {
     Settings s = roomy_settings();
-    s.copy_index = index;
-    s.copy_count = 8;
+    s.replica_index = index;
+    s.replica_count = 8;
     Copy copy(s, static_cast<std::uint64_t>(index) + 1);
     copy.at(0, members(10));
     for (int i = 0; i < 100; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) ++held[send.server];
+      for (const StartAttempt& send : all<StartAttempt>(copy.request(std::to_string(i)))) ++held[send.server];
     }
   }
   EXPECT_EQ(held.size(), 10U);
@@ -195,7 +196,7 @@
 // Danger: at many copies a server's room is a part of a call each; counted strictly, chance refuses.
 TEST(Room, AFewCallsASecondAreNotRefusedByChance) {
   Settings s = roomy_settings();
-  s.copy_count = 500;
+  s.replica_count = 500;
   s.tenants = {{100000.0}};
   Copy copy(s);
   copy.at(0, members(100));
@@ -203,12 +204,12 @@
   int refused = 0;
   for (int i = 0; i < 3000; ++i) {
     copy.now = 10 + i * 0.02;
-    if (open.count(i) != 0) copy.end(open[i], Outcome::kDelivered, 0, 0.4);
+    if (open.count(i) != 0) copy.end(open[i], Outcome::kSucceeded, 0, 0.4);
     if (i % 25 > 1) continue;  // two calls close together, twice a second
     const std::string id = std::to_string(i);
     const auto actions = copy.request(id);
-    refused += static_cast<int>(all<Refuse>(actions).size());
-    if (!all<Send>(actions).empty()) open[i + 20] = id;
+    refused += static_cast<int>(all<Reject>(actions).size());
+    if (!all<StartAttempt>(actions).empty()) open[i + 20] = id;
   }
   EXPECT_EQ(refused, 0);
 }
@@ -219,13 +220,13 @@
   s.tier = 1;
   Copy copy(s);
   copy.at(0, members(3));
-  for (int i = 0; i < 300; ++i) EXPECT_EQ(all<Send>(copy.request(std::to_string(i))).size(), 1U);
+  for (int i = 0; i < 300; ++i) EXPECT_EQ(all<StartAttempt>(copy.request(std::to_string(i))).size(), 1U);
 }
 
 // Sends calls that nobody answers until one is refused; returns how many went out.
 int fill(Copy& copy, const std::string& prefix) {
   int sent = 0;
-  while (!all<Send>(copy.request(prefix + std::to_string(sent))).empty()) ++sent;
+  while (!all<StartAttempt>(copy.request(prefix + std::to_string(sent))).empty()) ++sent;
   return sent;
 }
 
@@ -240,10 +241,10 @@
   for (int i = 0; i < 400; ++i) {
     copy.now = i * 0.02;
     const std::string id = std::to_string(i);
-    const auto sends = all<Send>(copy.request(id));
+    const auto sends = all<StartAttempt>(copy.request(id));
     if (sends.empty() || sends[0].server != "s2") continue;  // the others hold what they get
     to_sick += i >= 50 ? 1 : 0;
-    copy.end(id, Outcome::kError);
+    copy.end(id, Outcome::kServerError);
   }
   EXPECT_LT(to_sick, 40);
 }
@@ -256,7 +257,8 @@
     for (int i = 0; i < 200; ++i) {
       copy.now = i * 0.2;
       const std::string id = "a" + std::to_string(i);
-      if (!all<Send>(copy.request(id)).empty()) copy.end(id, Outcome::kDelivered, 0, i < 100 ? 0.4 : answer);
+      if (!all<StartAttempt>(copy.request(id)).empty())
+        copy.end(id, Outcome::kSucceeded, 0, i < 100 ? 0.4 : answer);
     }
     return fill(copy, "b");
   };
@@ -266,7 +268,7 @@
 // Danger: a bound rounded up to a whole call at each of many copies is far above the bound over all of them.
 TEST(Room, ACrowdIsThinnedToLessThanACallACopy) {
   Settings s = roomy_settings();
-  s.copy_count = 500;
+  s.replica_count = 500;
   s.tenants = {{1000000.0}};
   Copy copy(s);
   copy.at(0, members(20));
@@ -275,9 +277,9 @@
     for (int i = 0; i < 200; ++i) {
       copy.now = from + i;  // one call at a time, too few to fill a rate of answers
       const std::string id = std::to_string(copy.now);
-      if (all<Send>(copy.request(id)).empty()) continue;
+      if (all<StartAttempt>(copy.request(id)).empty()) continue;
       ++sent;
-      copy.end(id, Outcome::kDelivered, 0, answer);
+      copy.end(id, Outcome::kSucceeded, 0, answer);
     }
     return sent;
   };
@@ -295,16 +297,16 @@
     copy.now = i * 0.025;
     const std::string id = "calm" + std::to_string(i);
     copy.request(id);
-    copy.end(id, Outcome::kDelivered, 0, 0.2);
+    copy.end(id, Outcome::kSucceeded, 0, 0.2);
   }
   for (int i = 0; i < 4; ++i) copy.request("held" + std::to_string(i));
   for (int i = 0; i < 60; ++i) {
     copy.now += 0.025;
     const std::string id = "slow" + std::to_string(i);
-    const auto sends = all<Send>(copy.request(id));
+    const auto sends = all<StartAttempt>(copy.request(id));
     if (sends.empty()) continue;
     const bool slow = std::stoi(sends[0].server.substr(1)) < slow_servers;
-    copy.end(id, Outcome::kDelivered, 0, slow ? slow_answer : 0.2);
+    copy.end(id, Outcome::kSucceeded, 0, slow ? slow_answer : 0.2);
   }
   return 4 + fill(copy, "more");
 }
@@ -324,17 +326,18 @@
 // Danger: now and then a call gets no answer, here or in a tier behind, and lasts as long as it may. By the
 // mean a few of those make every server look slow, and the tier would refuse what it can hold.
 TEST(Room, AFewStuckCallsAreNoCrowd) {
-  for (const Outcome stuck : {Outcome::kTimedOut, Outcome::kDelivered}) {
+  for (const Outcome stuck : {Outcome::kTimedOut, Outcome::kSucceeded}) {
     Copy copy(roomy_settings());
     copy.at(0, members(4));
     for (int i = 0; i < 1600; ++i) {
       copy.now = i * 0.025;
       const std::string id = std::to_string(i);
-      if (all<Send>(copy.request(id)).empty()) continue;
+      if (all<StartAttempt>(copy.request(id)).empty()) continue;
       const bool is_stuck = i > 800 && i % 20 < 2;
-      if (all<Send>(copy.end(id, is_stuck ? stuck : Outcome::kDelivered, 0, is_stuck ? 2.5 : 0.2)).empty())
+      if (all<StartAttempt>(copy.end(id, is_stuck ? stuck : Outcome::kSucceeded, 0, is_stuck ? 2.5 : 0.2))
+              .empty())
         continue;
-      copy.end(id, Outcome::kDelivered, 1, 0.2);
+      copy.end(id, Outcome::kSucceeded, 1, 0.2);
     }
     EXPECT_GT(fill(copy, "more"), 8);
   }
@@ -343,13 +346,13 @@
 TEST(Timeouts, FollowTheObservedLatency) {
   Copy copy(basic_settings());
   copy.at(0, members(4));
-  const double before = all<Send>(copy.request("first"))[0].timeout;
+  const double before = all<StartAttempt>(copy.request("first"))[0].timeout;
   for (int i = 0; i < 100; ++i) {
     copy.now = i * 0.1;
     copy.request(std::to_string(i));
-    copy.end(std::to_string(i), Outcome::kDelivered, 0, 0.05);
+    copy.end(std::to_string(i), Outcome::kSucceeded, 0, 0.05);
   }
-  const double after = all<Send>(copy.request("last"))[0].timeout;
+  const double after = all<StartAttempt>(copy.request("last"))[0].timeout;
   EXPECT_LT(after, before / 2);
   EXPECT_GT(after, 0.05);
 }
--- a/tests/unit/mechanism_test.cpp
+++ b/tests/unit/mechanism_test.cpp
@@ -27,24 +27,24 @@
   EXPECT_DOUBLE_EQ(suppression_factor(std::numeric_limits<double>::infinity(), 5, 5), 0);
 }
 
-Settings one_tenant(double allowance) {
+Settings one_tenant(double quota) {
   Settings s = basic_settings();
-  s.tenants = {{allowance}};
+  s.tenants = {{quota}};
   return s;
 }
 
 // Calls at a steady rate, each answered at once; returns how many were admitted.
 int offer(Copy& copy, double from, double seconds, double rate, const std::string& prefix,
-          Outcome outcome = Outcome::kDelivered) {
+          Outcome outcome = Outcome::kSucceeded) {
   int admitted = 0;
   const int calls = static_cast<int>(seconds * rate);
   for (int i = 0; i < calls; ++i) {
     copy.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    if (all<Send>(copy.request(id)).empty()) continue;
+    if (all<StartAttempt>(copy.request(id)).empty()) continue;
     ++admitted;
     const auto after = copy.end(id, outcome);
-    for (const Send& again : all<Send>(after)) copy.end(again.id, Outcome::kDelivered, 1);
+    for (const StartAttempt& again : all<StartAttempt>(after)) copy.end(again.id, Outcome::kSucceeded, 1);
   }
   return admitted;
 }
@@ -58,12 +58,12 @@
 
 TEST(Admission, AboveTheLimitTheRestIsDeniedSmoothly) {
   Settings s = one_tenant(10);
-  s.over_share_worth = 0;  // the limit stays where it starts
+  s.over_quota_weight = 0;  // the limit stays where it starts
   Copy copy(s);
   copy.at(0, members(4));
   const double limit = copy.balancer.tenant(0, 0).rate_limit;
   const int admitted = offer(copy, 0, 8, 4 * limit, "a");
-  const TenantView view = copy.balancer.tenant(copy.now, 0);
+  const TenantStatistics view = copy.balancer.tenant(copy.now, 0);
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
   EXPECT_NEAR(view.suppression_factor, 1 - view.rate_limit / (4 * limit), 0.05);
@@ -72,7 +72,7 @@
 
 // Guards against tenants cut down to a part of their share by servers that fail at any load.
 TEST(Admission, ErrorsAndSpoiltAnswersCutNoLimit) {
-  for (const Outcome outcome : {Outcome::kError, Outcome::kUnknown, Outcome::kReset}) {
+  for (const Outcome outcome : {Outcome::kServerError, Outcome::kUnknown, Outcome::kReset}) {
     Copy copy(one_tenant(10));
     copy.at(0, members(4));
     const double limit = copy.balancer.tenant(0, 0).rate_limit;
@@ -93,13 +93,14 @@
 TEST(Admission, WithinItsShareATenantFindsRoomWhereAnotherHoldsIt) {
   Settings s = basic_settings();
   s.tenants = {{2.0}, {2.0}};
-  s.over_share_worth = 0.05;
+  s.over_quota_weight = 0.05;
   Copy copy(s);
   copy.at(0, members(6));
   copy.now = 30;  // nothing of the start's room is left
   const auto sent = [&](const std::string& prefix, std::size_t tenant, int calls) {
     std::size_t out = 0;
-    for (int i = 0; i < calls; ++i) out += all<Send>(copy.request(prefix + std::to_string(i), tenant)).size();
+    for (int i = 0; i < calls; ++i)
+      out += all<StartAttempt>(copy.request(prefix + std::to_string(i), tenant)).size();
     return out;
   };
   EXPECT_GT(sent("flood", 0, 14), 8U) << "its share of the window, and more";
@@ -115,7 +116,7 @@
   int late_admissions = 0;
   for (int i = 0; i < static_cast<int>(flood); ++i) {
     copy.now = i / flood;
-    const bool sent = !all<Send>(copy.request("r" + std::to_string(i))).empty();
+    const bool sent = !all<StartAttempt>(copy.request("r" + std::to_string(i))).empty();
     if (i > flood * 0.9 && sent) ++late_admissions;
   }
   EXPECT_EQ(late_admissions, 0);
@@ -135,7 +136,7 @@
 // The factor is kept for 100 ms: a flood within that time is met with the factor from before it.
 TEST(Admission, TheFactorIsCached) {
   Settings s = one_tenant(100);
-  s.over_share_worth = 0;
+  s.over_quota_weight = 0;
   Copy copy(s);
   copy.at(0, members(4));
   const double limit = copy.balancer.tenant(0, 0).rate_limit;
@@ -145,9 +146,9 @@
     for (int i = 0; i < calls; ++i) {
       copy.now = time;
       const std::string id = prefix + std::to_string(i);
-      if (all<Send>(copy.request(id)).empty()) continue;
+      if (all<StartAttempt>(copy.request(id)).empty()) continue;
       ++admitted;
-      copy.end(id, Outcome::kDelivered);
+      copy.end(id, Outcome::kSucceeded);
     }
     return admitted;
   };
@@ -165,9 +166,9 @@
   for (int i = 0; i < 900; ++i) {
     copy.now = 0.001 * i;
     const auto actions = copy.request("r" + std::to_string(i));
-    EXPECT_EQ(all<Refuse>(actions).size() + all<Send>(actions).size(), 1U);
-    refused += static_cast<int>(all<Refuse>(actions).size());
-    if (!all<Send>(actions).empty()) copy.end("r" + std::to_string(i), Outcome::kDelivered);
+    EXPECT_EQ(all<Reject>(actions).size() + all<StartAttempt>(actions).size(), 1U);
+    refused += static_cast<int>(all<Reject>(actions).size());
+    if (!all<StartAttempt>(actions).empty()) copy.end("r" + std::to_string(i), Outcome::kSucceeded);
   }
   EXPECT_GT(refused, 300);
   EXPECT_EQ(copy.balancer.tenant(copy.now, 0).declined, refused);
@@ -214,7 +215,7 @@
   for (int i = 0; i < 500; ++i) {
     copy.now = i * 0.01;
     const std::string id = std::to_string(i);
-    if (!all<Send>(copy.request(id)).empty()) copy.end(id, Outcome::kDelivered, 0, 1.8);
+    if (!all<StartAttempt>(copy.request(id)).empty()) copy.end(id, Outcome::kSucceeded, 0, 1.8);
   }
   EXPECT_DOUBLE_EQ(copy.balancer.tenant(copy.now, 0).rate_limit, before);
 }
@@ -241,8 +242,8 @@
   for (const int copies : {3, 7, 12}) {
     for (int index = 0; index < copies; ++index) {
       Settings s = basic_settings();
-      s.copy_index = index;
-      s.copy_count = copies;
+      s.replica_index = index;
+      s.replica_count = copies;
       const auto used = [&](bool without_one) {
         Copy copy(s);
         MembershipUpdate m = members(24);
@@ -251,8 +252,8 @@
         std::set<std::string> out;
         for (int i = 0; i < 400; ++i) {
           const std::string id = std::to_string(i);
-          for (const Send& send : all<Send>(copy.request(id))) out.insert(send.server);
-          copy.end(id, Outcome::kDelivered);
+          for (const StartAttempt& send : all<StartAttempt>(copy.request(id))) out.insert(send.server);
+          copy.end(id, Outcome::kSucceeded);
         }
         return out;
       };
@@ -271,12 +272,13 @@
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
     Settings s = basic_settings();
-    s.copy_index = index;
-    s.copy_count = 2;
+    s.replica_index = index;
+    s.replica_count = 2;
     Copy copy(s);
     copy.at(0, members(40));
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) used.insert(send.server);
+      for (const StartAttempt& send : all<StartAttempt>(copy.request(std::to_string(i))))
+        used.insert(send.server);
     }
   }
   EXPECT_EQ(used.size(), 40U);
@@ -288,7 +290,7 @@
   copy.at(0, members(2));
   std::map<std::string, int> held;
   for (int i = 0; i < 10; ++i) {
-    for (const Send& send : all<Send>(copy.request(std::to_string(i)))) ++held[send.server];
+    for (const StartAttempt& send : all<StartAttempt>(copy.request(std::to_string(i)))) ++held[send.server];
   }
   EXPECT_EQ(held["s0"], 5);
   EXPECT_EQ(held["s1"], 5);
@@ -302,9 +304,9 @@
   for (int i = 0; i < 400; ++i) {
     copy.now = i * 0.1;
     const std::string id = std::to_string(i);
-    for (const Send& send : all<Send>(copy.request(id))) {
+    for (const StartAttempt& send : all<StartAttempt>(copy.request(id))) {
       if (i >= 100) ++used[send.server];
-      copy.end(id, Outcome::kDelivered, 0, send.server == "s1" ? 0.9 : 0.3);
+      copy.end(id, Outcome::kSucceeded, 0, send.server == "s1" ? 0.9 : 0.3);
     }
   }
   EXPECT_LT(used["s1"], used["s0"] / 2);
@@ -319,12 +321,12 @@
     for (int i = 0; i < 40; ++i) {
       copy.now = i * 0.1;
       copy.request(std::to_string(i));
-      copy.end(std::to_string(i), Outcome::kDelivered, 0, 0.2);
+      copy.end(std::to_string(i), Outcome::kSucceeded, 0, 0.2);
     }
-    const std::string silent = all<Send>(copy.request("old"))[0].server;
+    const std::string silent = all<StartAttempt>(copy.request("old"))[0].server;
     copy.now += 1;  // five usual answer times
     for (int i = 0; i < 3; ++i) {
-      EXPECT_NE(all<Send>(copy.request("new" + std::to_string(i)))[0].server, silent)
+      EXPECT_NE(all<StartAttempt>(copy.request("new" + std::to_string(i)))[0].server, silent)
           << "young calls weigh less than one old one";
     }
   }
@@ -334,7 +336,7 @@
 TEST(Pick, ACrowdedZoneSpillsOverAndAnIdleOneStaysAtHome) {
   const auto away = [](double answer_at_home, double price = 0.01) {
     Settings s = basic_settings();
-    s.cross_zone_price = price;
+    s.cross_zone_cost = price;
     Copy copy(s);
     MembershipUpdate m;
     for (int i = 0; i < 8; ++i) m.servers.push_back(server(i, i % 2));
@@ -344,10 +346,10 @@
     for (int i = 0; i < 600; ++i) {
       copy.now = i * 0.05;
       for (auto it = open.begin(); it != open.end() && it->first <= i; it = open.erase(it)) {
-        copy.end(it->second.first, Outcome::kDelivered, 0, it->second.second);
+        copy.end(it->second.first, Outcome::kSucceeded, 0, it->second.second);
       }
       const std::string id = std::to_string(i);
-      for (const Send& send : all<Send>(copy.request(id))) {
+      for (const StartAttempt& send : all<StartAttempt>(copy.request(id))) {
         const bool home = (send.server.back() - '0') % 2 == 0;
         const double answer = home ? answer_at_home : 0.1;
         out += home ? 0 : 1;
@@ -367,7 +369,8 @@
     copy.at(5, members(12));
     std::string out;
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) out += send.server + " ";
+      for (const StartAttempt& send : all<StartAttempt>(copy.request(std::to_string(i))))
+        out += send.server + " ";
     }
     return out;
   };
@@ -389,45 +392,46 @@
   const auto names = [&](auto change, const char* field) {
     EXPECT_NE(message(change).find(field), std::string::npos) << field << ": " << message(change);
   };
-  names([](Settings& s) { s.copy_count = 0; }, "copy_count");
-  names([](Settings& s) { s.copy_index = 1; }, "copy_index");
-  names([](Settings& s) { s.copy_index = -1; }, "copy_index");
-  names([](Settings& s) { s.tick = -1; }, "tick");
+  names([](Settings& s) { s.replica_count = 0; }, "replica_count");
+  names([](Settings& s) { s.replica_index = 1; }, "replica_index");
+  names([](Settings& s) { s.replica_index = -1; }, "replica_index");
+  names([](Settings& s) { s.clock_granularity = -1; }, "clock_granularity");
   names([](Settings& s) { s.tier = -1; }, "tier");
   names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
   names([](Settings& s) { s.max_retry_after = -1; }, "max_retry_after");
-  names([](Settings& s) { s.ask_within = -1; }, "ask_within");
-  names([](Settings& s) { s.ramp_time = -1; }, "ramp_time");
-  names([](Settings& s) { s.over_share_worth = -1; }, "over_share_worth");
-  names([](Settings& s) { s.start_capacity = 1.5; }, "start_capacity");
-  names([](Settings& s) { s.classes[0].effect = static_cast<Effect>(9); }, "effect");
+  names([](Settings& s) { s.notification_deadline = -1; }, "notification_deadline");
+  names([](Settings& s) { s.slow_start_duration = -1; }, "slow_start_duration");
+  names([](Settings& s) { s.over_quota_weight = -1; }, "over_quota_weight");
+  names([](Settings& s) { s.initial_capacity = 1.5; }, "initial_capacity");
+  names([](Settings& s) { s.classes[0].idempotency = static_cast<Idempotency>(9); }, "idempotency");
   names([](Settings& s) { s.classes[0].dedup_scope = static_cast<DedupScope>(9); }, "dedup_scope");
-  names([](Settings& s) { s.classes[0].aim = -1; }, "aim");
-  names([](Settings& s) { s.classes[0].give_up = -1; }, "give_up");
+  names([](Settings& s) { s.classes[0].latency_objective = -1; }, "latency_objective");
+  names([](Settings& s) { s.classes[0].client_timeout = -1; }, "client_timeout");
   names([](Settings& s) { s.classes[0].dedup_window = -1; }, "dedup_window");
-  names([](Settings& s) { s.tenants[0].allowance = -1; }, "allowance");
-  names([](Settings& s) { s.classes[0].aim = std::numeric_limits<double>::quiet_NaN(); }, "aim");
-  names([](Settings& s) { s.classes[0].aim_stretch = -1; }, "aim_stretch");
+  names([](Settings& s) { s.tenants[0].quota = -1; }, "quota");
+  names([](Settings& s) { s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN(); },
+        "latency_objective");
+  names([](Settings& s) { s.classes[0].objective_growth = -1; }, "objective_growth");
   EXPECT_EQ(message([](Settings&) {}), "accepted");
 }
 
 TEST(Settings, NoAmountMayBeNanOrInfinite) {
   using Change = double& (*)(Settings&);
   const std::pair<Change, const char*> amounts[] = {
-      {[](Settings& s) -> double& { return s.tick; }, "tick"},
+      {[](Settings& s) -> double& { return s.clock_granularity; }, "clock_granularity"},
       {[](Settings& s) -> double& { return s.max_retry_after; }, "max_retry_after"},
-      {[](Settings& s) -> double& { return s.ask_within; }, "ask_within"},
-      {[](Settings& s) -> double& { return s.ramp_time; }, "ramp_time"},
-      {[](Settings& s) -> double& { return s.start_capacity; }, "start_capacity"},
-      {[](Settings& s) -> double& { return s.tip_multiple; }, "tip_multiple"},
-      {[](Settings& s) -> double& { return s.over_share_worth; }, "over_share_worth"},
-      {[](Settings& s) -> double& { return s.cross_zone_price; }, "cross_zone_price"},
-      {[](Settings& s) -> double& { return s.classes[0].aim; }, "aim"},
-      {[](Settings& s) -> double& { return s.classes[0].aim_stretch; }, "aim_stretch"},
-      {[](Settings& s) -> double& { return s.classes[0].give_up; }, "give_up"},
-      {[](Settings& s) -> double& { return s.classes[0].late_worth; }, "late_worth"},
+      {[](Settings& s) -> double& { return s.notification_deadline; }, "notification_deadline"},
+      {[](Settings& s) -> double& { return s.slow_start_duration; }, "slow_start_duration"},
+      {[](Settings& s) -> double& { return s.initial_capacity; }, "initial_capacity"},
+      {[](Settings& s) -> double& { return s.overload_threshold; }, "overload_threshold"},
+      {[](Settings& s) -> double& { return s.over_quota_weight; }, "over_quota_weight"},
+      {[](Settings& s) -> double& { return s.cross_zone_cost; }, "cross_zone_cost"},
+      {[](Settings& s) -> double& { return s.classes[0].latency_objective; }, "latency_objective"},
+      {[](Settings& s) -> double& { return s.classes[0].objective_growth; }, "objective_growth"},
+      {[](Settings& s) -> double& { return s.classes[0].client_timeout; }, "client_timeout"},
+      {[](Settings& s) -> double& { return s.classes[0].late_value; }, "late_value"},
       {[](Settings& s) -> double& { return s.classes[0].dedup_window; }, "dedup_window"},
-      {[](Settings& s) -> double& { return *s.tenants[0].allowance; }, "allowance"}};
+      {[](Settings& s) -> double& { return *s.tenants[0].quota; }, "quota"}};
   for (const auto& [field, name] : amounts) {
     for (const double value : {std::nan(""), HUGE_VAL, -HUGE_VAL, -1.0}) {
       Settings s = basic_settings();
@@ -446,20 +450,20 @@
 TEST(Settings, ARequestIdThatIsStillOpenIsIgnored) {
   Copy copy(basic_settings());
   copy.at(0, members(2));
-  ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
+  ASSERT_EQ(all<StartAttempt>(copy.request("r")).size(), 1U);
   EXPECT_TRUE(copy.request("r").empty());
-  EXPECT_TRUE(copy.end("r", Outcome::kDelivered).empty());
+  EXPECT_TRUE(copy.end("r", Outcome::kSucceeded).empty());
 }
 
 TEST(Settings, NumbersOutOfRangeAreHarmless) {
   Copy copy(basic_settings());
   copy.at(0, members(2));
-  EXPECT_EQ(all<Send>(copy.request("a", 77, 88)).size(), 1U);
-  EXPECT_TRUE(copy.end("a", Outcome::kDelivered, 9).empty());
-  EXPECT_TRUE(copy.end("a", Outcome::kDelivered, -1).empty());
-  EXPECT_TRUE(copy.end("never", Outcome::kDelivered).empty());
+  EXPECT_EQ(all<StartAttempt>(copy.request("a", 77, 88)).size(), 1U);
+  EXPECT_TRUE(copy.end("a", Outcome::kSucceeded, 9).empty());
+  EXPECT_TRUE(copy.end("a", Outcome::kSucceeded, -1).empty());
+  EXPECT_TRUE(copy.end("never", Outcome::kSucceeded).empty());
   EXPECT_TRUE(copy.at(0, TimerFired{12345}).empty());
-  EXPECT_TRUE(copy.at(0, RequestGone{"never"}).empty());
+  EXPECT_TRUE(copy.at(0, RequestCancelled{"never"}).empty());
   EXPECT_GE(copy.balancer.tenant(0, 1234).rate_limit, 0);
 }
 
@@ -469,7 +473,7 @@
   Copy copy(basic_settings());
   constexpr int kListed = 5, kDay = 1000;
   copy.at(0, members(kListed));
-  const auto sent = all<Send>(copy.request("held"));
+  const auto sent = all<StartAttempt>(copy.request("held"));
   ASSERT_EQ(sent.size(), 1U);
   for (int i = kListed; i < kDay; ++i) {
     MembershipUpdate change;
@@ -478,16 +482,16 @@
       for (int at = i - kListed + 1; at < i; ++at) change.servers.push_back(server(at));
     } else {
       change.servers.push_back(server(i - kListed));
-      change.servers.back().state = ServerState::kGone;
+      change.servers.back().state = ServerState::kRemoved;
     }
     change.servers.push_back(server(i));
     copy.at(i, change);
     const std::string id = "r" + std::to_string(i);
-    ASSERT_EQ(all<Send>(copy.request(id)).size(), 1U);
-    copy.end(id, Outcome::kDelivered);
+    ASSERT_EQ(all<StartAttempt>(copy.request(id)).size(), 1U);
+    copy.end(id, Outcome::kSucceeded);
   }
   EXPECT_EQ(copy.balancer.servers(), kListed + 1U) << "those listed, and the one that the open request names";
-  copy.end("held", Outcome::kDelivered);
+  copy.end("held", Outcome::kSucceeded);
   EXPECT_EQ(copy.balancer.servers(), static_cast<std::size_t>(kListed));
 }
 
--- a/tests/unit/property_test.cpp
+++ b/tests/unit/property_test.cpp
@@ -84,7 +84,7 @@
     Sent& sent = held.sent[attempt];
     sent.open = false;
     sent.may_have_run = !proves_unrun(outcome);
-    if (outcome == Outcome::kDelivered) held.concluded = true;
+    if (outcome == Outcome::kSucceeded) held.concluded = true;
     const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.at, held.concluded};
     check(copy_.at(now_, result));
     if (roll(8) != 0) return;
@@ -112,7 +112,7 @@
       auto it = held_.lower_bound("r" + std::to_string(roll(std::max(1, i))));
       if (it == held_.end() || it->second.concluded) return;
       it->second.concluded = true;  // the client left
-      check(copy_.at(now_, RequestGone{it->first}));
+      check(copy_.at(now_, RequestCancelled{it->first}));
     } else if (roll(4) == 0) {
       const int form = roll(3);
       tell({static_cast<MembershipUpdate::Form>(form), form == 2 ? std::vector<Server>() : some_servers()});
@@ -130,7 +130,7 @@
     }
     if (open.empty()) return;
     const auto& [id, attempt] = open[static_cast<std::size_t>(roll(static_cast<int>(open.size())))];
-    end(id, held_[id], attempt, roll(2) == 0 ? Outcome::kDelivered : static_cast<Outcome>(roll(9)));
+    end(id, held_[id], attempt, roll(2) == 0 ? Outcome::kSucceeded : static_cast<Outcome>(roll(9)));
   }
 
   static bool any_open(const Held& held) {
@@ -142,10 +142,10 @@
 
   void check(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) check_send(*send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) check_final(refuse->id, true);
+      if (const auto* send = std::get_if<StartAttempt>(&action)) check_send(*send);
+      if (const auto* refuse = std::get_if<Reject>(&action)) check_final(refuse->id, true);
       if (const auto* fail = std::get_if<Fail>(&action)) check_final(fail->id, false);
-      if (const auto* cancel = std::get_if<Cancel>(&action)) {
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         EXPECT_TRUE(settings_.can_cancel);
         EXPECT_LT(static_cast<std::size_t>(cancel->attempt), held_[cancel->id].sent.size());
       }
@@ -158,13 +158,14 @@
     held.concluded = true;
     const RequestClass& c = settings_.classes[held.request_class];
     const bool harmless =
-        c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.dedup_scope == DedupScope::kAll);
+        c.idempotency == Idempotency::kIdempotent ||
+        (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll);
     if (!refused || harmless) return;
     for (const Sent& sent : held.sent)
       EXPECT_FALSE(sent.may_have_run) << id << " refused, but it may have run";
   }
 
-  void check_send(const Send& send) {
+  void check_send(const StartAttempt& send) {
     Held& held = held_.at(send.id);
     EXPECT_FALSE(held.concluded) << send.id << " sent after its final answer";
     EXPECT_TRUE(usable_[send.server]) << send.server << " drains, is gone or was never told";
@@ -173,9 +174,9 @@
     EXPECT_LT(held.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
     const RequestClass& c = settings_.classes[held.request_class];
     for (const Sent& before : held.sent) {
-      EXPECT_TRUE(settings_.second_copies || !before.open) << send.id << " has two attempts out";
-      if (c.effect == Effect::kSafe || !before.may_have_run) continue;
-      EXPECT_NE(c.effect, Effect::kUnsafe) << send.id << " may run twice";
+      EXPECT_TRUE(settings_.allow_hedging || !before.open) << send.id << " has two attempts out";
+      if (c.idempotency == Idempotency::kIdempotent || !before.may_have_run) continue;
+      EXPECT_NE(c.idempotency, Idempotency::kNonIdempotent) << send.id << " may run twice";
       EXPECT_LE(now_, before.at + c.dedup_window) << send.id << " after the servers forgot it";
       const Server& a = told_[before.server];
       const Server& b = told_[send.server];
@@ -199,21 +200,22 @@
     std::mt19937 dice(seed);
     const auto roll = [&](int sides) { return static_cast<int>(dice() % static_cast<unsigned>(sides)); };
     Settings s = basic_settings();
-    s.classes = {class_of(Effect::kSafe), class_of(Effect::kKeyed, static_cast<DedupScope>(roll(3))),
-                 class_of(Effect::kUnsafe)};
+    s.classes = {class_of(Idempotency::kIdempotent),
+                 class_of(Idempotency::kIdempotencyKey, static_cast<DedupScope>(roll(3))),
+                 class_of(Idempotency::kNonIdempotent)};
     for (RequestClass& c : s.classes) {
-      c.late_worth = roll(2) * 0.5;
+      c.late_value = roll(2) * 0.5;
       c.dedup_window = 0.5 + roll(8);
     }
-    s.copy_count = 1 + roll(400);
-    s.copy_index = roll(s.copy_count);
+    s.replica_count = 1 + roll(400);
+    s.replica_index = roll(s.replica_count);
     s.tier = roll(3);
     s.max_attempts = 1 + roll(5);
     s.can_cancel = roll(2) == 0;
     s.must_watch = roll(2) == 0;
-    s.start_capacity = 0.2;
-    s.ramp_time = roll(10);
-    s.cross_zone_price = roll(2) * 0.01;
+    s.initial_capacity = 0.2;
+    s.slow_start_duration = roll(10);
+    s.cross_zone_cost = roll(2) * 0.01;
     s.tenants = {{1.0 + roll(3000)}, {}};
     SCOPED_TRACE("seed " + std::to_string(seed));
     Watcher(s, seed).play(1500);
--- a/tests/unit/retry_test.cpp
+++ b/tests/unit/retry_test.cpp
@@ -19,8 +19,9 @@
 void spend_retries(Copy& copy) {
   for (int i = 0; i < 12; ++i) {
     const std::string id = "spend" + std::to_string(i);
-    std::vector<Send> sent = all<Send>(copy.request(id));
-    for (int attempt = 0; !sent.empty(); ++attempt) sent = all<Send>(copy.end(id, Outcome::kError, attempt));
+    std::vector<StartAttempt> sent = all<StartAttempt>(copy.request(id));
+    for (int attempt = 0; !sent.empty(); ++attempt)
+      sent = all<StartAttempt>(copy.end(id, Outcome::kServerError, attempt));
     copy.now += 30;  // no server is distrusted for it any more
   }
 }
@@ -30,7 +31,7 @@
   copy.at(0, members(8));
   spend_retries(copy);
   copy.request("a");
-  EXPECT_TRUE(all<Send>(copy.end("a", Outcome::kRejected)).empty());
+  EXPECT_TRUE(all<StartAttempt>(copy.end("a", Outcome::kRejected)).empty());
 }
 
 TEST(Retries, WhatNeverLeftIsNotRepeatedPastItsTime) {
@@ -38,9 +39,9 @@
   copy.at(0, members(8));
   copy.request("a");
   copy.now = 6;
-  const std::vector<Action> end = copy.end("a", Outcome::kDialFailed);
-  EXPECT_TRUE(all<Send>(end).empty());
-  EXPECT_EQ(all<Refuse>(end).size(), 1U);
+  const std::vector<Action> end = copy.end("a", Outcome::kConnectFailed);
+  EXPECT_TRUE(all<StartAttempt>(end).empty());
+  EXPECT_EQ(all<Reject>(end).size(), 1U);
 }
 
 // Guards against copies that all dial a server which is about to come back, as often as they may.
@@ -50,9 +51,9 @@
   int dials = 0, calls = 0;
   for (; calls < 1000; ++calls, copy.now += 0.01) {
     const std::string id = std::to_string(calls);
-    std::vector<Send> sent = all<Send>(copy.request(id));
+    std::vector<StartAttempt> sent = all<StartAttempt>(copy.request(id));
     for (int attempt = 0; !sent.empty(); ++attempt, ++dials)
-      sent = all<Send>(copy.end(id, Outcome::kDialFailed, attempt));
+      sent = all<StartAttempt>(copy.end(id, Outcome::kConnectFailed, attempt));
   }
   EXPECT_LE(dials, calls * 1.1 + 6);
 }
@@ -66,10 +67,10 @@
     for (int tier = 0; tier < tiers; ++tier) {
       Settings s = six_attempts();
       s.tier = tier;
-      s.copy_count = kWidth;
+      s.replica_count = kWidth;
       copies.emplace_back();
-      for (s.copy_index = 0; s.copy_index < kWidth; ++s.copy_index) {
-        copies.back().emplace_back(s, static_cast<std::uint64_t>(s.copy_index + 1));
+      for (s.replica_index = 0; s.replica_index < kWidth; ++s.replica_index) {
+        copies.back().emplace_back(s, static_cast<std::uint64_t>(s.replica_index + 1));
         copies.back().back().at(0, members(kWidth));
       }
     }
@@ -78,29 +79,30 @@
   Outcome call(std::size_t tier, std::size_t index) {
     Copy& copy = copies[tier][index];
     const std::string id = std::to_string(++calls);
-    if (calls > 100000) return Outcome::kError;  // far over any bound: no need to see the rest
+    if (calls > 100000) return Outcome::kServerError;  // far over any bound: no need to see the rest
     copy.now = now;
-    std::vector<Send> sent = all<Send>(copy.request(id));
+    std::vector<StartAttempt> sent = all<StartAttempt>(copy.request(id));
     for (int attempt = 0; !sent.empty(); ++attempt) {
       ++dialled[tier];
-      Outcome outcome = tier + 1 == copies.size() ? last() : Outcome::kDelivered;
-      if (outcome != Outcome::kDialFailed) {
+      Outcome outcome = tier + 1 == copies.size() ? last() : Outcome::kSucceeded;
+      if (outcome != Outcome::kConnectFailed) {
         ++asked[tier];
         const std::size_t to = static_cast<std::size_t>(sent[0].server[1] - '0');
         // What a tier behind gave up comes back as an error, whatever it was there.
-        if (tier + 1 < copies.size() && call(tier + 1, to) != Outcome::kDelivered) outcome = Outcome::kError;
+        if (tier + 1 < copies.size() && call(tier + 1, to) != Outcome::kSucceeded)
+          outcome = Outcome::kServerError;
       }
-      sent = all<Send>(copy.end(id, outcome, attempt, 0.01));
-      if (outcome == Outcome::kDelivered) return outcome;
+      sent = all<StartAttempt>(copy.end(id, outcome, attempt, 0.01));
+      if (outcome == Outcome::kSucceeded) return outcome;
     }
-    return Outcome::kError;
+    return Outcome::kServerError;
   }
 
   // Plays calls from outside, a hundred a second; returns how many were served.
   int play(int count) {
     int served = 0;
     for (int i = 0; i < count; ++i, now += 0.01)
-      served += call(0, static_cast<std::size_t>(i % kWidth)) == Outcome::kDelivered ? 1 : 0;
+      served += call(0, static_cast<std::size_t>(i % kWidth)) == Outcome::kSucceeded ? 1 : 0;
     return served;
   }
 
@@ -113,7 +115,7 @@
 
   std::vector<std::vector<Copy>> copies;  // by tier
   std::vector<int> asked, dialled;        // by tier: calls that reached a server, and tries to reach one
-  std::function<Outcome()> last = [] { return Outcome::kDelivered; };
+  std::function<Outcome()> last = [] { return Outcome::kSucceeded; };
   double now = 0;
   int calls = 0;
 };
@@ -122,7 +124,7 @@
 TEST(Retries, InACrowdTheLastTierIsAskedForNoMoreThanTheBound) {
   for (const int tiers : {1, 3, 7}) {
     for (const Outcome bad :
-         {Outcome::kError, Outcome::kRejected, Outcome::kTimedOut, Outcome::kDialFailed}) {
+         {Outcome::kServerError, Outcome::kRejected, Outcome::kTimedOut, Outcome::kConnectFailed}) {
       Fleet fleet(tiers);
       const int count = 1000;
       EXPECT_EQ(fleet.play(count), count);
@@ -132,7 +134,7 @@
       EXPECT_EQ(fleet.play(count), 0);
       EXPECT_LE(fleet.asked.back(), fleet.bound(count));
       EXPECT_LE(fleet.dialled.back(), fleet.bound(count));
-      fleet.last = [] { return Outcome::kDelivered; };
+      fleet.last = [] { return Outcome::kSucceeded; };
       fleet.now += 60;
       EXPECT_EQ(fleet.play(count), count) << "the crowd has gone, and all is as before";
     }
--- a/tests/unit/rules_test.cpp
+++ b/tests/unit/rules_test.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 std::size_t finals(const std::vector<Action>& actions) {
-  return all<Refuse>(actions).size() + all<Fail>(actions).size();
+  return all<Reject>(actions).size() + all<Fail>(actions).size();
 }
 
-constexpr Outcome kFailures[] = {Outcome::kError,      Outcome::kRejected, Outcome::kTimedOut,
-                                 Outcome::kDialFailed, Outcome::kReset,    Outcome::kCancelled,
-                                 Outcome::kNotSent,    Outcome::kUnknown};
+constexpr Outcome kFailures[] = {Outcome::kServerError,   Outcome::kRejected, Outcome::kTimedOut,
+                                 Outcome::kConnectFailed, Outcome::kReset,    Outcome::kCancelled,
+                                 Outcome::kNotSent,       Outcome::kUnknown};
 
 MembershipUpdate two_cells() {
   MembershipUpdate m;
@@ -25,42 +25,42 @@
 
 // Every effect and scope against every failure: what may be sent again, where, and what may be refused.
 TEST(NoDoubleEffect, RepeatMatrix) {
-  const std::pair<Effect, DedupScope> kinds[] = {{Effect::kSafe, DedupScope::kCell},
-                                                 {Effect::kKeyed, DedupScope::kAll},
-                                                 {Effect::kKeyed, DedupScope::kZone},
-                                                 {Effect::kKeyed, DedupScope::kCell},
-                                                 {Effect::kUnsafe, DedupScope::kCell}};
+  const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
+                                                      {Idempotency::kIdempotencyKey, DedupScope::kAll},
+                                                      {Idempotency::kIdempotencyKey, DedupScope::kZone},
+                                                      {Idempotency::kIdempotencyKey, DedupScope::kCell},
+                                                      {Idempotency::kNonIdempotent, DedupScope::kCell}};
   std::map<std::string, Server> told;
   for (const Server& s : two_cells().servers) told[s.address] = s;
-  for (const auto& [effect, scope] : kinds) {
+  for (const auto& [idempotency, scope] : kinds) {
     for (const Outcome first : kFailures) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Copy copy(basic_settings(class_of(effect, scope)), seed);
+        Copy copy(basic_settings(class_of(idempotency, scope)), seed);
         copy.at(0, two_cells());
         std::optional<Server> may_have_run;
         std::string id = "r";
         auto actions = copy.request(id);
         for (int attempt = 0; attempt < 10; ++attempt) {
-          const auto sends = all<Send>(actions);
+          const auto sends = all<StartAttempt>(actions);
           if (sends.empty()) {
             EXPECT_EQ(finals(actions), 1U);
-            if (!all<Refuse>(actions).empty() && may_have_run && effect != Effect::kSafe) {
-              EXPECT_TRUE(effect == Effect::kKeyed && scope == DedupScope::kAll);
+            if (!all<Reject>(actions).empty() && may_have_run && idempotency != Idempotency::kIdempotent) {
+              EXPECT_TRUE(idempotency == Idempotency::kIdempotencyKey && scope == DedupScope::kAll);
             }
             break;
           }
           ASSERT_EQ(sends.size(), 1U);
           const Server& s = told[sends[0].server];
           if (may_have_run) {
-            EXPECT_NE(effect, Effect::kUnsafe);
-            if (effect == Effect::kKeyed && scope == DedupScope::kZone) {
+            EXPECT_NE(idempotency, Idempotency::kNonIdempotent);
+            if (idempotency == Idempotency::kIdempotencyKey && scope == DedupScope::kZone) {
               EXPECT_EQ(s.zone, may_have_run->zone);
             }
-            if (effect == Effect::kKeyed && scope == DedupScope::kCell) {
+            if (idempotency == Idempotency::kIdempotencyKey && scope == DedupScope::kCell) {
               EXPECT_EQ(s.cell, may_have_run->cell);
             }
           }
-          const Outcome outcome = attempt == 0 ? first : Outcome::kDialFailed;
+          const Outcome outcome = attempt == 0 ? first : Outcome::kConnectFailed;
           if (!may_have_run && !proves_unrun(outcome)) may_have_run = s;
           copy.now += 0.05;
           actions = copy.end(id, outcome, attempt);
@@ -72,38 +72,38 @@
 }
 
 TEST(NoDoubleEffect, NothingIsRepeatedAfterTheServersForget) {
-  RequestClass c = class_of(Effect::kKeyed, DedupScope::kAll);
+  RequestClass c = class_of(Idempotency::kIdempotencyKey, DedupScope::kAll);
   c.dedup_window = 0.5;
   Copy copy(basic_settings(c));
   copy.at(0, members(4));
-  ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
+  ASSERT_EQ(all<StartAttempt>(copy.request("r")).size(), 1U);
   copy.now = 0.6;
-  EXPECT_TRUE(all<Send>(copy.end("r", Outcome::kError)).empty());
+  EXPECT_TRUE(all<StartAttempt>(copy.end("r", Outcome::kServerError)).empty());
 }
 
 // Orders in which an outcome, the deadline and the client's leaving can meet: one final answer, none after.
 TEST(NoneLost, OneFinalAnswerUnderEveryOrder) {
   for (const Outcome outcome : kFailures) {
     for (const bool gone_first : {false, true}) {
-      Settings s = basic_settings(class_of(Effect::kUnsafe));
+      Settings s = basic_settings(class_of(Idempotency::kNonIdempotent));
       s.max_attempts = 1;
       Copy copy(s);
       copy.at(0, members(3));
-      ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
+      ASSERT_EQ(all<StartAttempt>(copy.request("r")).size(), 1U);
       copy.now = 1;
       std::vector<Action> after;
       if (gone_first) {
-        after = copy.at(1, RequestGone{"r"});
+        after = copy.at(1, RequestCancelled{"r"});
         EXPECT_EQ(finals(after), 0U);
-        EXPECT_EQ(all<Cancel>(after).size(), 1U);
+        EXPECT_EQ(all<CancelAttempt>(after).size(), 1U);
         after = copy.end("r", outcome);
         EXPECT_EQ(finals(after), 0U);
       } else {
         after = copy.end("r", outcome);
         EXPECT_EQ(finals(after), 1U);
-        EXPECT_TRUE(copy.at(1, RequestGone{"r"}).empty());
+        EXPECT_TRUE(copy.at(1, RequestCancelled{"r"}).empty());
       }
-      EXPECT_TRUE(all<Send>(after).empty());
+      EXPECT_TRUE(all<StartAttempt>(after).empty());
       EXPECT_TRUE(copy.end("r", outcome).empty()) << "an outcome twice";
     }
   }
@@ -113,19 +113,19 @@
   Copy copy(basic_settings());
   copy.at(0, members(3));
   copy.request("r");
-  EXPECT_TRUE(copy.end("r", Outcome::kDelivered).empty());
-  EXPECT_TRUE(copy.at(0, RequestGone{"r"}).empty());
+  EXPECT_TRUE(copy.end("r", Outcome::kSucceeded).empty());
+  EXPECT_TRUE(copy.at(0, RequestCancelled{"r"}).empty());
 }
 
 TEST(NoneLost, ATimeOutNeverPassesTheClientsOwn) {
-  RequestClass c = class_of(Effect::kUnsafe);
-  c.late_worth = 0.5;
+  RequestClass c = class_of(Idempotency::kNonIdempotent);
+  c.late_value = 0.5;
   Copy copy(basic_settings(c));
   copy.at(0, members(3));
   Request r;
   r.id = "r";
   r.time_left = 0.7;
-  const auto sends = all<Send>(copy.at(0, r));
+  const auto sends = all<StartAttempt>(copy.at(0, r));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_LE(sends[0].timeout, 0.7);
   EXPECT_GT(sends[0].timeout, 0);
@@ -133,12 +133,12 @@
 
 TEST(NoneLost, WithoutServersARequestIsRefused) {
   Copy nothing_known(basic_settings());
-  EXPECT_EQ(all<Refuse>(nothing_known.request("a")).size(), 1U);
+  EXPECT_EQ(all<Reject>(nothing_known.request("a")).size(), 1U);
   Copy draining(basic_settings());
   MembershipUpdate m = members(3);
   for (Server& s : m.servers) s.state = ServerState::kDraining;
   draining.at(0, m);
-  EXPECT_EQ(all<Refuse>(draining.request("a")).size(), 1U);
+  EXPECT_EQ(all<Reject>(draining.request("a")).size(), 1U);
 }
 
 TEST(NoneLost, NoMoreAttemptsThanAllowed) {
@@ -148,7 +148,7 @@
   copy.at(0, members(8));
   auto actions = copy.request("r");
   int sends = 0;
-  while (!all<Send>(actions).empty()) actions = copy.end("r", Outcome::kRejected, sends++);
+  while (!all<StartAttempt>(actions).empty()) actions = copy.end("r", Outcome::kRejected, sends++);
   EXPECT_LE(sends, 3);
   EXPECT_EQ(finals(actions), 1U);
 }
@@ -157,14 +157,14 @@
   std::set<std::string> used;
   for (int i = 0; i < calls; ++i) {
     const std::string id = prefix + std::to_string(i);
-    for (const Send& send : all<Send>(copy.request(id))) used.insert(send.server);
-    copy.end(id, Outcome::kDelivered);
+    for (const StartAttempt& send : all<StartAttempt>(copy.request(id))) used.insert(send.server);
+    copy.end(id, Outcome::kSucceeded);
   }
   return used;
 }
 
 TEST(Drains, NothingNewOnceTold) {
-  for (const ServerState state : {ServerState::kDraining, ServerState::kGone}) {
+  for (const ServerState state : {ServerState::kDraining, ServerState::kRemoved}) {
     Copy copy(basic_settings());
     copy.at(0, members(3));
     EXPECT_EQ(servers_used(copy, 50, "a").size(), 3U);
@@ -194,19 +194,19 @@
 TEST(Watch, IsAskedForAtTheStartAndAgainAfterFailures) {
   Settings s = basic_settings();
   s.must_watch = true;
-  s.ask_within = 10;
+  s.notification_deadline = 10;
   Copy copy(s);
-  EXPECT_EQ(all<WatchMembers>(copy.at(0, Started{})).size(), 1U);
+  EXPECT_EQ(all<WatchMembership>(copy.at(0, Started{})).size(), 1U);
   MembershipUpdate failed;
   failed.form = MembershipUpdate::Form::kFailed;
   double now = 0;
   for (int i = 0; i < 12; ++i) {
     const auto timers = all<SetTimer>(copy.at(now, failed));
     ASSERT_EQ(timers.size(), 1U);
-    EXPECT_GT(timers[0].at, now);
-    EXPECT_LE(timers[0].at, now + 5) << "within the time after which it counts as told";
-    now = timers[0].at;
-    EXPECT_EQ(all<WatchMembers>(copy.at(now, TimerFired{timers[0].token})).size(), 1U);
+    EXPECT_GT(timers[0].due_at, now);
+    EXPECT_LE(timers[0].due_at, now + 5) << "within the time after which it counts as told";
+    now = timers[0].due_at;
+    EXPECT_EQ(all<WatchMembership>(copy.at(now, TimerFired{timers[0].token})).size(), 1U);
   }
 }
 
@@ -224,12 +224,12 @@
   constexpr int kServers = 10;
   constexpr double kRate = 20;  // a copy; a server's part is 20 a second over all copies
   Settings s = basic_settings();
-  s.copy_count = kCopies;
-  s.start_capacity = 0.14;
-  s.ramp_time = 24;
+  s.replica_count = kCopies;
+  s.initial_capacity = 0.14;
+  s.slow_start_duration = 24;
   std::vector<double> sends;
   for (int c = 0; c < kCopies; ++c) {
-    s.copy_index = c;
+    s.replica_index = c;
     Copy copy(s, static_cast<std::uint64_t>(c) + 1);
     copy.at(100, members(kServers));
     for (int i = 0; i < static_cast<int>(40 * kRate); ++i) {
@@ -243,10 +243,10 @@
       }
       copy.now = now;
       const std::string id = std::to_string(i);
-      for (const Send& send : all<Send>(copy.request(id))) {
+      for (const StartAttempt& send : all<StartAttempt>(copy.request(id))) {
         if (send.server == "s0" && now >= 110) sends.push_back(now);
       }
-      copy.end(id, Outcome::kDelivered);
+      copy.end(id, Outcome::kSucceeded);
     }
   }
   const double share = kCopies * kRate / kServers;
@@ -262,8 +262,8 @@
 
 TEST(ColdServer, AFleetThatIsAllColdStillServes) {
   Settings s = basic_settings();
-  s.start_capacity = 0.2;
-  s.ramp_time = 10;
+  s.initial_capacity = 0.2;
+  s.slow_start_duration = 10;
   s.tenants = {{100.0}};
   Copy copy(s);
   MembershipUpdate m = members(4);
@@ -273,8 +273,8 @@
   for (int i = 0; i < 500; ++i) {
     copy.now = 100 + i * 0.01;
     const std::string id = std::to_string(i);
-    sent += static_cast<int>(all<Send>(copy.request(id)).size());
-    copy.end(id, Outcome::kDelivered);
+    sent += static_cast<int>(all<StartAttempt>(copy.request(id)).size());
+    copy.end(id, Outcome::kSucceeded);
   }
   EXPECT_GT(sent, 50);
   EXPECT_LT(sent, 400);
--- a/tests/unit/server_admin_state_test.cpp
+++ b/tests/unit/server_admin_state_test.cpp
@@ -16,9 +16,9 @@
   for (int i = 0; i < calls; ++i) {
     copy.now += step;
     const std::string id = tag + std::to_string(i);
-    for (const Send& send : all<Send>(copy.request(id))) {
+    for (const StartAttempt& send : all<StartAttempt>(copy.request(id))) {
       out.insert(send.server);
-      copy.end(id, Outcome::kDelivered, 0, 0.05);
+      copy.end(id, Outcome::kSucceeded, 0, 0.05);
     }
   }
   return out;
@@ -28,12 +28,12 @@
   Copy copy(basic_settings());
   copy.at(0, members(3));
   EXPECT_TRUE(used(copy, 100, "before").contains("s1"));
-  copy.at(copy.now, ServerSwitched{"s1", false});
+  copy.at(copy.now, ServerAdminStateChanged{"s1", false});
   EXPECT_FALSE(used(copy, 100, "out").contains("s1"));
   copy.at(copy.now, members(3));  // the whole list anew
   EXPECT_FALSE(used(copy, 100, "listed").contains("s1"));
   MembershipUpdate change{MembershipUpdate::Form::kChanges, {server(1)}};
-  change.servers[0].state = ServerState::kGone;
+  change.servers[0].state = ServerState::kRemoved;
   copy.at(copy.now, change);
   change.servers[0].state = ServerState::kReady;
   change.servers[0].started = copy.now;  // it comes again as another process
@@ -46,11 +46,11 @@
 TEST(ByHand, OneCallBackUndoesTwoOut) {
   Copy copy(basic_settings());
   copy.at(0, members(3));
-  copy.at(copy.now, ServerSwitched{"s1", false});
-  copy.at(copy.now, ServerSwitched{"s1", false});
-  EXPECT_EQ(copy.balancer.servers_avoided(copy.now), 1U);
-  copy.at(copy.now, ServerSwitched{"s1", true});
-  EXPECT_EQ(copy.balancer.servers_avoided(copy.now), 0U);
+  copy.at(copy.now, ServerAdminStateChanged{"s1", false});
+  copy.at(copy.now, ServerAdminStateChanged{"s1", false});
+  EXPECT_EQ(copy.balancer.unavailable_servers(copy.now), 1U);
+  copy.at(copy.now, ServerAdminStateChanged{"s1", true});
+  EXPECT_EQ(copy.balancer.unavailable_servers(copy.now), 0U);
   EXPECT_TRUE(used(copy, 100, "back").contains("s1"));
 }
 
@@ -58,14 +58,14 @@
 // over.
 TEST(ByHand, OneThatIsBackIsColdAndStillUsed) {
   Settings settings = basic_settings();
-  settings.start_capacity = 0.3;
-  settings.ramp_time = 8;
+  settings.initial_capacity = 0.3;
+  settings.slow_start_duration = 8;
   Copy copy(settings);
   copy.at(0, members(3));
   used(copy, 300, "before");
-  copy.at(copy.now, ServerSwitched{"s1", false});
+  copy.at(copy.now, ServerAdminStateChanged{"s1", false});
   used(copy, 100, "out");
-  copy.at(copy.now, ServerSwitched{"s1", true});
+  copy.at(copy.now, ServerAdminStateChanged{"s1", true});
   const auto back = used(copy, 200, "back");  // 2 s
   const auto part = static_cast<double>(back.count("s1")) / static_cast<double>(back.size());
   EXPECT_GT(part, 0.02);
@@ -76,17 +76,17 @@
 TEST(ByHand, OneThatTheListTellsToHaveStartedWhileOutIsAsWarmAsItsAge) {
   const auto part_of = [](double started, double out_at) {
     Settings settings = basic_settings();
-    settings.start_capacity = 0.1;
-    settings.ramp_time = 8;
+    settings.initial_capacity = 0.1;
+    settings.slow_start_duration = 8;
     Copy copy(settings);
     copy.at(0, members(3));
     used(copy, 300, "before");
-    copy.at(out_at, ServerSwitched{"s1", false});
+    copy.at(out_at, ServerAdminStateChanged{"s1", false});
     MembershipUpdate change{MembershipUpdate::Form::kChanges, {server(1)}};
     change.servers[0].started = started;
     copy.at(20, change);
     used(copy, 100, "out");
-    copy.at(copy.now, ServerSwitched{"s1", true});
+    copy.at(copy.now, ServerAdminStateChanged{"s1", true});
     return used(copy, 200, "back").count("s1");
   };
   const auto just_now = part_of(3.5, 4);  // the list knows of no start since it was taken out
@@ -97,8 +97,8 @@
 TEST(ByHand, WithAllOutCallsAreRefusedAtOnceWithAdvice) {
   Copy copy(basic_settings());
   copy.at(0, members(2));
-  for (const char* name : {"s0", "s1"}) copy.at(copy.now, ServerSwitched{name, false});
-  const auto refused = all<Refuse>(copy.request("r"));
+  for (const char* name : {"s0", "s1"}) copy.at(copy.now, ServerAdminStateChanged{name, false});
+  const auto refused = all<Reject>(copy.request("r"));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_GT(refused[0].retry_after, 0);
 }
@@ -106,35 +106,35 @@
 // Guards against a ban that is lost because the server is told of only later, as at a start.
 TEST(ByHand, ABanHoldsForAServerThatIsListedLater) {
   Copy copy(basic_settings());
-  copy.at(0, ServerSwitched{"s1", false});
+  copy.at(0, ServerAdminStateChanged{"s1", false});
   copy.at(0, members(2));
   EXPECT_FALSE(used(copy, 50, "r").contains("s1"));
-  EXPECT_EQ(copy.balancer.servers_avoided(copy.now), 1U);
+  EXPECT_EQ(copy.balancer.unavailable_servers(copy.now), 1U);
 }
 
 TEST(ByHand, AnAttemptThatIsOutEndsAsUsual) {
   Copy copy(basic_settings());
   copy.at(0, members(1));
-  ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
-  copy.at(copy.now, ServerSwitched{"s0", false});
-  EXPECT_TRUE(copy.end("r", Outcome::kDelivered).empty());
-  copy.at(copy.now, ServerSwitched{"s0", true});
-  EXPECT_EQ(all<Send>(copy.request("r2")).size(), 1U);
+  ASSERT_EQ(all<StartAttempt>(copy.request("r")).size(), 1U);
+  copy.at(copy.now, ServerAdminStateChanged{"s0", false});
+  EXPECT_TRUE(copy.end("r", Outcome::kSucceeded).empty());
+  copy.at(copy.now, ServerAdminStateChanged{"s0", true});
+  EXPECT_EQ(all<StartAttempt>(copy.request("r2")).size(), 1U);
 }
 
 TEST(Avoided, OnesThatFailCountUntilTheyAreTrustedAgain) {
   Copy copy(basic_settings());
   copy.at(0, members(1));
-  EXPECT_EQ(copy.balancer.servers_avoided(copy.now), 0U);
+  EXPECT_EQ(copy.balancer.unavailable_servers(copy.now), 0U);
   for (int i = 0; i < 4; ++i) {
     copy.now += 0.01;
     const std::string id = "f" + std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<StartAttempt>(copy.request(id));
     for (int attempt = 0; !sends.empty(); ++attempt)
-      sends = all<Send>(copy.end(id, Outcome::kReset, attempt));
+      sends = all<StartAttempt>(copy.end(id, Outcome::kReset, attempt));
   }
-  EXPECT_EQ(copy.balancer.servers_avoided(copy.now), 1U);
-  EXPECT_EQ(copy.balancer.servers_avoided(copy.now + 60), 0U);
+  EXPECT_EQ(copy.balancer.unavailable_servers(copy.now), 1U);
+  EXPECT_EQ(copy.balancer.unavailable_servers(copy.now + 60), 0U);
 }
 
 // ---------------------------------------------------------------- bodies on their way
@@ -143,7 +143,7 @@
   Request r;
   r.id = id;
   r.time_left = 6;
-  r.is_coming = true;
+  r.body_in_progress = true;
   return r;
 }
 
@@ -152,27 +152,27 @@
   Copy copy(basic_settings());
   copy.at(0, members(1));
   for (int i = 0; i < 50; ++i)
-    ASSERT_EQ(all<Send>(copy.at(0, coming("c" + std::to_string(i)))).size(), 1U) << i;
-  EXPECT_EQ(all<Send>(copy.request("r")).size(), 1U);
+    ASSERT_EQ(all<StartAttempt>(copy.at(0, coming("c" + std::to_string(i)))).size(), 1U) << i;
+  EXPECT_EQ(all<StartAttempt>(copy.request("r")).size(), 1U);
   // Once they are all there they count, and others are refused.
-  for (int i = 0; i < 50; ++i) copy.at(0, RequestComplete{"c" + std::to_string(i)});
-  EXPECT_EQ(all<Refuse>(copy.request("late")).size(), 1U);
+  for (int i = 0; i < 50; ++i) copy.at(0, RequestBodyComplete{"c" + std::to_string(i)});
+  EXPECT_EQ(all<Reject>(copy.request("late")).size(), 1U);
   // An answer that has begun counts no more.
-  for (int i = 0; i < 50; ++i) copy.at(0, AnswerStarted{"c" + std::to_string(i), 0, 0.1});
-  EXPECT_EQ(all<Send>(copy.request("room")).size(), 1U);
+  for (int i = 0; i < 50; ++i) copy.at(0, ResponseStarted{"c" + std::to_string(i), 0, 0.1});
+  EXPECT_EQ(all<StartAttempt>(copy.request("room")).size(), 1U);
   for (int i = 0; i < 50; ++i) {
-    const Outcome outcome = i % 2 == 0 ? Outcome::kDelivered : Outcome::kReset;
+    const Outcome outcome = i % 2 == 0 ? Outcome::kSucceeded : Outcome::kReset;
     EXPECT_TRUE(copy.at(copy.now, AttemptResult{"c" + std::to_string(i), 0, outcome, 0.1, true}).empty());
   }
-  EXPECT_EQ(all<Send>(copy.request("after")).size(), 1U);
+  EXPECT_EQ(all<StartAttempt>(copy.request("after")).size(), 1U);
 }
 
 TEST(Bodies, TheTimeOfOneRunsFromItsLastByte) {
   Copy copy(basic_settings());
   copy.at(0, members(2));
-  ASSERT_EQ(all<Send>(copy.at(0, coming("c"))).size(), 1U);
-  copy.at(20, RequestComplete{"c"});
-  const auto again = all<Send>(copy.at(20.5, AttemptResult{"c", 0, Outcome::kRejected, 0.5}));
+  ASSERT_EQ(all<StartAttempt>(copy.at(0, coming("c"))).size(), 1U);
+  copy.at(20, RequestBodyComplete{"c"});
+  const auto again = all<StartAttempt>(copy.at(20.5, AttemptResult{"c", 0, Outcome::kRejected, 0.5}));
   ASSERT_EQ(again.size(), 1U) << "20 s of sending are not taken off";
   EXPECT_LE(again[0].timeout, 5.5);
 }
@@ -180,12 +180,12 @@
 TEST(Bodies, OneThatIsSpentIsNotSentAgain) {
   Copy copy(basic_settings());
   copy.at(0, members(2));
-  ASSERT_EQ(all<Send>(copy.at(0, coming("c"))).size(), 1U);
-  AttemptResult broken{"c", 0, Outcome::kDialFailed, 0.1};
-  broken.spent = true;
+  ASSERT_EQ(all<StartAttempt>(copy.at(0, coming("c"))).size(), 1U);
+  AttemptResult broken{"c", 0, Outcome::kConnectFailed, 0.1};
+  broken.body_consumed = true;
   const auto actions = copy.at(0.1, broken);
-  EXPECT_TRUE(all<Send>(actions).empty());
-  EXPECT_EQ(all<Refuse>(actions).size(), 1U) << "it never ran";
+  EXPECT_TRUE(all<StartAttempt>(actions).empty());
+  EXPECT_EQ(all<Reject>(actions).size(), 1U) << "it never ran";
 }
 
 // ---------------------------------------------------------------- settings that are replaced
@@ -195,7 +195,7 @@
   s.classes[0].name = "look";
   s.max_attempts = max_attempts;
   Tenant tenant;
-  tenant.allowance = 5;
+  tenant.quota = 5;
   tenant.name = "acme";
   s.tenants = {tenant};
   return s;
@@ -204,27 +204,27 @@
 TEST(Replaced, OpenRequestsKeepTheirRulesToTheirLastAttempt) {
   Copy copy(named_settings(3));
   copy.at(0, members(4));
-  ASSERT_EQ(all<Send>(copy.request("before")).size(), 1U);
+  ASSERT_EQ(all<StartAttempt>(copy.request("before")).size(), 1U);
   Settings next = named_settings(1);
-  next.classes[0].effect = Effect::kUnsafe;
+  next.classes[0].idempotency = Idempotency::kNonIdempotent;
   copy.at(copy.now, SettingsReplaced{next});
-  EXPECT_EQ(all<Send>(copy.end("before", Outcome::kReset)).size(), 1U) << "safe, and three attempts";
-  EXPECT_EQ(all<Send>(copy.end("before", Outcome::kReset, 1)).size(), 1U);
-  EXPECT_TRUE(all<Send>(copy.end("before", Outcome::kReset, 2)).empty());
-  ASSERT_EQ(all<Send>(copy.request("after")).size(), 1U);
+  EXPECT_EQ(all<StartAttempt>(copy.end("before", Outcome::kReset)).size(), 1U) << "safe, and three attempts";
+  EXPECT_EQ(all<StartAttempt>(copy.end("before", Outcome::kReset, 1)).size(), 1U);
+  EXPECT_TRUE(all<StartAttempt>(copy.end("before", Outcome::kReset, 2)).empty());
+  ASSERT_EQ(all<StartAttempt>(copy.request("after")).size(), 1U);
   EXPECT_EQ(all<Fail>(copy.end("after", Outcome::kReset)).size(), 1U) << "unsafe, and one attempt";
 }
 
 TEST(Replaced, ADroppedClassEndsItsOpenRequestsAsUsual) {
   Settings two = named_settings(3);
-  two.classes.push_back(class_of(Effect::kKeyed));
+  two.classes.push_back(class_of(Idempotency::kIdempotencyKey));
   two.classes[1].name = "mark";
   Copy copy(two);
   copy.at(0, members(4));
-  ASSERT_EQ(all<Send>(copy.request("r", 0, 1)).size(), 1U);
+  ASSERT_EQ(all<StartAttempt>(copy.request("r", 0, 1)).size(), 1U);
   copy.at(copy.now, SettingsReplaced{named_settings(3)});
-  EXPECT_EQ(all<Send>(copy.end("r", Outcome::kReset)).size(), 1U);
-  EXPECT_TRUE(copy.end("r", Outcome::kDelivered, 1).empty());
+  EXPECT_EQ(all<StartAttempt>(copy.end("r", Outcome::kReset)).size(), 1U);
+  EXPECT_TRUE(copy.end("r", Outcome::kSucceeded, 1).empty());
 }
 
 TEST(Replaced, WhatWasLearnedOfATenantGoesOnByItsName) {
@@ -234,7 +234,7 @@
   const double learned = copy.balancer.tenant(copy.now, 0).rate_limit;
   Settings next = named_settings(3);
   Tenant other;
-  other.allowance = 5;
+  other.quota = 5;
   other.name = "other";
   next.tenants.insert(next.tenants.begin(), other);
   ASSERT_GT(learned, Copy(next).balancer.tenant(0, 0).rate_limit);
@@ -247,12 +247,12 @@
   Copy copy(named_settings(3));
   copy.at(0, members(4));
   Settings bad = named_settings(1);
-  bad.classes[0].give_up = 0;
+  bad.classes[0].client_timeout = 0;
   std::vector<Action> none;
   EXPECT_THROW(copy.balancer.handle(copy.now, SettingsReplaced{bad}, none), std::invalid_argument);
   EXPECT_TRUE(none.empty());
-  ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
-  EXPECT_EQ(all<Send>(copy.end("r", Outcome::kReset)).size(), 1U);
+  ASSERT_EQ(all<StartAttempt>(copy.request("r")).size(), 1U);
+  EXPECT_EQ(all<StartAttempt>(copy.end("r", Outcome::kReset)).size(), 1U);
 }
 
 }  // namespace
--- a/tests/unit/watch_backoff_test.cpp
+++ b/tests/unit/watch_backoff_test.cpp
@@ -20,17 +20,17 @@
       for (int refused = 0; refused < 8; ++refused) {
         Settings s = basic_settings();
         s.must_watch = true;
-        s.ask_within = seed % 2 == 0 ? 10 : 0;
+        s.notification_deadline = seed % 2 == 0 ? 10 : 0;
         Copy copy(s, seed);
         copy.at(0, Started{});
         double begun = 0;
         const auto call_after = [&](double lasted) {
           const auto timers = all<SetTimer>(copy.at(begun + lasted, failed()));
           ASSERT_EQ(timers.size(), 1U);
-          EXPECT_GE(timers[0].at, begun + lasted + 0.15) << "no flood";
-          EXPECT_LE(timers[0].at - begun, std::max(4.0, lasted + 0.3)) << refused << ", hung " << hung;
-          begun = timers[0].at;
-          ASSERT_EQ(all<WatchMembers>(copy.at(begun, TimerFired{timers[0].token})).size(), 1U);
+          EXPECT_GE(timers[0].due_at, begun + lasted + 0.15) << "no flood";
+          EXPECT_LE(timers[0].due_at - begun, std::max(4.0, lasted + 0.3)) << refused << ", hung " << hung;
+          begun = timers[0].due_at;
+          ASSERT_EQ(all<WatchMembership>(copy.at(begun, TimerFired{timers[0].token})).size(), 1U);
         };
         for (int i = 0; i < refused; ++i) call_after(0);
         call_after(hung);
@@ -49,8 +49,8 @@
   copy.at(1.1, SettingsReplaced{s});
   const auto after = all<SetTimer>(copy.at(1.2, failed()));
   ASSERT_EQ(before.size() + after.size(), 2U);
-  EXPECT_TRUE(copy.at(before[0].at, TimerFired{before[0].token}).empty());
-  EXPECT_EQ(all<WatchMembers>(copy.at(after[0].at, TimerFired{after[0].token})).size(), 1U);
+  EXPECT_TRUE(copy.at(before[0].due_at, TimerFired{before[0].token}).empty());
+  EXPECT_EQ(all<WatchMembership>(copy.at(after[0].due_at, TimerFired{after[0].token})).size(), 1U);
 }
 
 }  // namespace
--- a/tests/unit/zone_test.cpp
+++ b/tests/unit/zone_test.cpp
@@ -22,8 +22,8 @@
 
   static Settings settings(double price) {
     Settings s = basic_settings();
-    s.copy_count = 5;
-    s.cross_zone_price = price;
+    s.replica_count = 5;
+    s.cross_zone_cost = price;
     return s;
   }
 
@@ -45,19 +45,19 @@
   }
 
   void take(const std::vector<Action>& actions) {
-    refused += static_cast<int>(all<Refuse>(actions).size());
-    for (const Send& s : all<Send>(actions)) {
+    refused += static_cast<int>(all<Reject>(actions).size());
+    for (const StartAttempt& s : all<StartAttempt>(actions)) {
       const int at = std::stoi(s.server.substr(1));
       const bool is_away = at >= kHome;
       (is_away ? away : home) += 1;
       const int attempt = attempts[s.id]++;
       if (is_away && cut) {
-        due.insert({copy.now + 0.2, s.id, attempt, copy.now, Outcome::kDialFailed});
+        due.insert({copy.now + 0.2, s.id, attempt, copy.now, Outcome::kConnectFailed});
         continue;
       }
       double& free = free_at[at];
       free = std::max(free, copy.now) + kWork;
-      due.insert({free + (is_away ? kCrossing : 0), s.id, attempt, copy.now, Outcome::kDelivered});
+      due.insert({free + (is_away ? kCrossing : 0), s.id, attempt, copy.now, Outcome::kSucceeded});
     }
   }
 
@@ -66,7 +66,7 @@
       const auto [end, id, attempt, sent, outcome] = *due.begin();
       due.erase(due.begin());
       copy.now = end;
-      if (outcome == Outcome::kDelivered) longest = std::max(longest, end - sent);
+      if (outcome == Outcome::kSucceeded) longest = std::max(longest, end - sent);
       take(copy.end(id, outcome, attempt, end - sent));
     }
     copy.now = t;
