--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -61,36 +61,37 @@
   ready_call_ = std::move(ready);
   jitter_.seed(static_cast<std::minstd_rand::result_type>(config_.seed));
   balancer_ = std::make_unique<Balancer>(config_.settings, config_.seed);
-  metrics_.show(config_.class_names);
-  discovery_ = std::make_unique<node::Discovery>(
+  metrics_.add_classes(config_.class_names);
+  discovery_ = std::make_unique<node::DiscoveryClient>(
       io_, config_.discovery, config_.directory, clock_, config_.seed,
-      node::Discovery::Listener{[this](const node::Membership& update) {
-                                  has_list_ = true;
-                                  members(update);
-                                },
-                                [this] {
-                                  failures_ = 0;
-                                  if (!listed_.empty()) {
-                                    happen(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
-                                  }
-                                },
-                                [this] { watch_failed(); }});
-  discovery_->set_answers_at_once(!config_.settings.must_watch);
-  discovery_->set_index(config_.known.index);
-  bans_ = std::make_unique<node::Bans>(io_, "", [this](const std::set<std::string>& out) { take_out(out); });
-  ops_ = std::make_unique<node::Ops>(
-      io_,
-      node::Ops::Calls{[this] { return has_list_; },
-                       [this] {
-                         return metrics_.text({listed_.size(), balancer_->unavailable_servers(clock_.now())});
-                       },
-                       [this](const std::string& id, bool enable) -> std::string {
-                         if (!listed_.contains(id) && !bans_->out().contains(id)) return "unknown server";
-                         bans_->set(id, !enable);
-                         return "";
-                       }});
+      node::DiscoveryClient::Listener{[this](const node::EndpointList& update) {
+                                        has_list_ = true;
+                                        members(update);
+                                      },
+                                      [this] {
+                                        failures_ = 0;
+                                        if (!listed_.empty()) {
+                                          happen(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
+                                        }
+                                      },
+                                      [this] { watch_failed(); }});
+  discovery_->set_responds_immediately(!config_.settings.must_watch);
+  discovery_->set_list_version(config_.known.version);
+  bans_ = std::make_unique<node::DisabledServers>(
+      io_, "", [this](const std::set<std::string>& out) { take_out(out); });
+  ops_ = std::make_unique<node::AdminServer>(
+      io_, node::AdminServer::Handlers{
+               [this] { return has_list_; },
+               [this] {
+                 return metrics_.to_json({listed_.size(), balancer_->unavailable_servers(clock_.now())});
+               },
+               [this](const std::string& id, bool enable) -> std::string {
+                 if (!listed_.contains(id) && !bans_->servers().contains(id)) return "unknown server";
+                 bans_->set_disabled(id, !enable);
+                 return "";
+               }});
   if (config_.ops) ops_->listen(*config_.ops);
-  if (!config_.known.members.empty()) members(config_.known);
+  if (!config_.known.endpoints.empty()) members(config_.known);
   happen(Started{});
   if (!config_.settings.must_watch) discovery_->watch();
   later(0, [this] { std::exchange(ready_call_, nullptr)(); });
@@ -112,11 +113,11 @@
   return server.state == ServerState::kReady && !out_.contains(server.address);
 }
 
-void HollowNode::members(const node::Membership& update) {
+void HollowNode::members(const node::EndpointList& update) {
   MembershipUpdate event;
-  event.form = update.full ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
+  event.form = update.is_full ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
   std::set<std::string> named;
-  for (const node::Member& member : update.members) {
+  for (const node::Endpoint& member : update.endpoints) {
     const std::string& name = member.server.address;
     if (member.server.state == ServerState::kRemoved) {
       listed_.erase(name);
@@ -126,9 +127,9 @@
     named.insert(name);
     event.servers.push_back(member.server);
   }
-  if (update.full)
+  if (update.is_full)
     std::erase_if(listed_, [&named](const auto& entry) { return !named.contains(entry.first); });
-  const bool is_new = std::exchange(index_, update.index) != update.index;
+  const bool is_new = std::exchange(index_, update.version) != update.version;
   happen(std::move(event));
   if (in_force_ && is_new) in_force_(index_);
 }
@@ -136,7 +137,7 @@
 void HollowNode::watch_failed() {
   happen(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
   if (config_.settings.must_watch) return;
-  later(node::pause_before_watch(failures_++, std::uniform_real_distribution<>()(jitter_)), [this] {
+  later(node::rewatch_backoff(failures_++, std::uniform_real_distribution<>()(jitter_)), [this] {
     if (discovery_) discovery_->watch();
   });
 }
@@ -152,7 +153,7 @@
 // ---------------------------------------------------------------- calls
 
 void HollowNode::call(const Call& call, std::function<void(Ending)> ended) {
-  metrics_.taken();
+  metrics_.request_started();
   Held& held = held_[call.id];
   held.request_class = call.request_class;
   held.class_number = call.class_number;
@@ -194,9 +195,9 @@
 void HollowNode::answer(Held& held, Ending ending) {
   held.guard.reset();
   held.leave.reset();
-  metrics_.ended(held.request_class, ending == Ending::kServed    ? node::End::kServed
-                                     : ending == Ending::kRefused ? node::End::kRefused
-                                                                  : node::End::kFailed);
+  metrics_.request_ended(held.request_class, ending == Ending::kServed    ? node::RequestResult::kServed
+                                             : ending == Ending::kRefused ? node::RequestResult::kRejected
+                                                                          : node::RequestResult::kFailed);
   asio::post(io_, [ended = std::exchange(held.ended, nullptr), ending] { ended(ending); });
 }
 
@@ -268,7 +269,7 @@
   if (attempt.server == nullptr || !attempt.server->is_up()) {
     return end_later(action.id, number, Outcome::kConnectFailed);
   }
-  metrics_.attempt_written();
+  metrics_.attempt_sent();
   attempt.number =
       attempt.server->begin_direct(action.id, place_.number, held.class_number, timeout,
                                    [this, alive = alive_, id = action.id, number](AttemptEnd how) {
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -74,7 +74,7 @@
   };
 
   bool is_usable(const Server& server) const;
-  void members(const node::Membership& update);
+  void members(const node::EndpointList& update);
   void watch_failed();
   void take_out(const std::set<std::string>& servers);
   void happen(Event event);
@@ -102,10 +102,10 @@
   std::function<void()> ready_call_;
   node::Config config_;
   std::unique_ptr<Balancer> balancer_;
-  std::unique_ptr<node::Discovery> discovery_;
+  std::unique_ptr<node::DiscoveryClient> discovery_;
   node::Metrics metrics_;
-  std::unique_ptr<node::Bans> bans_;
-  std::unique_ptr<node::Ops> ops_;
+  std::unique_ptr<node::DisabledServers> bans_;
+  std::unique_ptr<node::AdminServer> ops_;
   std::minstd_rand jitter_;
   std::unordered_map<std::string, Held> held_;
   std::map<std::string, Server> listed_;
--- a/lab/run/experiment.cpp
+++ b/lab/run/experiment.cpp
@@ -180,7 +180,7 @@
   out.slots = in.whole("slots", 16, 1, 10000);
   out.room = in.whole("room", 32, 0, 10000);
   out.most_connections = in.whole("connections", 256, 1, 10000);
-  out.idle_close = in.number("idle_close", 30, 0.05, kLongest);
+  out.server_idle_timeout = in.number("idle_close", 30, 0.05, kLongest);
   out.zones = in.words("zones");
   if (out.zones.empty()) out.zones = zones;
   for (const std::string& zone : out.zones) {
@@ -244,8 +244,8 @@
   out.cancel = in.flag("cancel", true);
   out.must_watch = in.flag("must_watch", false);
   out.max_retry_after = in.number("max_retry_after", 2, 0, 60);
-  out.dial_timeout = in.number("dial_timeout", 0.25, 0.01, 10);
-  out.idle_close = in.number("idle_close", 30, 0.05, kLongest);
+  out.connect_timeout = in.number("dial_timeout", 0.25, 0.01, 10);
+  out.server_idle_timeout = in.number("idle_close", 30, 0.05, kLongest);
   out.initial_capacity = in.number("start_capacity", 0.4, 0.01, 1);
   out.slow_start_duration = in.number("ramp_time", 3, 0, kLongest);
   out.drain_grace = in.number("drain_grace", 0.5, 0, 60);
@@ -365,8 +365,8 @@
   number("maxRetryAfter", experiment.max_retry_after);
   flag("retryAfter", experiment.max_retry_after > 0);
   flag("secondCopies", experiment.allow_hedging);
-  number("dialTimeout", experiment.dial_timeout);
-  number("idleClose", experiment.idle_close);
+  number("dialTimeout", experiment.connect_timeout);
+  number("idleClose", experiment.server_idle_timeout);
   json.EndObject();
   json.Key("categories");
   json.StartArray();
--- a/lab/run/experiment.h
+++ b/lab/run/experiment.h
@@ -33,7 +33,7 @@
 // them from the second tier on: t1-s0.
 struct ServersPlan {
   int count = 1, tier = 0, cores = 2, slots = 16, room = 32, most_connections = 256;
-  double idle_close = 30;
+  double server_idle_timeout = 30;
   std::vector<std::string> zones;  // in turn
 };
 
@@ -77,7 +77,7 @@
   std::vector<std::string> zones;
   int max_attempts = 3;
   bool allow_hedging = false, cancel = true, must_watch = false;
-  double max_retry_after = 2, dial_timeout = 0.25, idle_close = 30, initial_capacity = 0.4,
+  double max_retry_after = 2, connect_timeout = 0.25, server_idle_timeout = 30, initial_capacity = 0.4,
          slow_start_duration = 3;
   double drain_grace = 0.5, answer_slack = 0.5;
   std::vector<ClassPlan> classes;
--- a/lab/run/experiment_run.cpp
+++ b/lab/run/experiment_run.cpp
@@ -88,7 +88,7 @@
   enum class Phase { kStarting, kCalls, kLastAnswers, kFigures, kEnding, kOver };
 
   struct Tier {
-    Catalog catalog;
+    RequestCatalog catalog;
     std::vector<std::unique_ptr<ServerStandIn>> servers;
     std::vector<std::string> zones;  // of the servers
   };
@@ -111,7 +111,7 @@
         const std::string& name = names[tier.servers.size()];
         tier.servers.push_back(std::make_unique<ServerStandIn>(
             io_, clock_, audit_, name, shape,
-            ServerStandIn::Limits{static_cast<std::size_t>(plan.most_connections), plan.idle_close},
+            ServerStandIn::Limits{static_cast<std::size_t>(plan.most_connections), plan.server_idle_timeout},
             experiment_.classes, experiment_.seed));
         tier.zones.push_back(plan.zones[static_cast<std::size_t>(i) % plan.zones.size()]);
         report_.servers.emplace_back().name = name;
@@ -150,7 +150,7 @@
     NodePart part;
     part.tier = tier;
     const std::size_t number = audit_.add_node(name);
-    const Catalog& catalog = tiers_[static_cast<std::size_t>(tier)].catalog;
+    const RequestCatalog& catalog = tiers_[static_cast<std::size_t>(tier)].catalog;
     part.agent = std::make_unique<Agent>(io_, clock_, audit_, number, !experiment_.must_watch);
     part.agent->send(catalog);
     if (hollow) {
--- a/lab/stand_ins/discovery_stand_in.cpp
+++ b/lab/stand_ins/discovery_stand_in.cpp
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-void Catalog::set(const Entry& entry) {
+void RequestCatalog::set(const Entry& entry) {
   ++index_;
   history_.push_back(entry);
   if (entry.status == "removed") {
@@ -78,14 +78,14 @@
   }
 }
 
-std::string Catalog::snapshot() const {
+std::string RequestCatalog::snapshot() const {
   std::vector<const Entry*> all;
   all.reserve(entries_.size());
   for (const auto& [name, entry] : entries_) all.push_back(&entry);
   return list(index_, true, all);
 }
 
-std::optional<std::string> Catalog::changes_after(std::uint64_t index) const {
+std::optional<std::string> RequestCatalog::changes_after(std::uint64_t index) const {
   if (index > index_) return std::nullopt;
   std::map<std::string, const Entry*> last;  // of each server its last state alone
   for (std::size_t i = index; i < history_.size(); ++i) last[history_[i].name] = &history_[i];
@@ -95,15 +95,15 @@
   return list(index_, false, changed);
 }
 
-std::vector<Entry> Catalog::since(std::uint64_t index) const {
+std::vector<Entry> RequestCatalog::since(std::uint64_t index) const {
   if (index >= index_) return {};
   return {history_.begin() + static_cast<std::ptrdiff_t>(index), history_.end()};
 }
 
 // One call of the node, from its request to its end.
-class Agent::Session : public std::enable_shared_from_this<Session> {
+class Agent::ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  Session(Agent& owner, tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {}
+  ClientConnection(Agent& owner, tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {}
 
   void start() {
     http::async_read(socket_, buffer_, request_,
@@ -215,7 +215,7 @@
 }
 
 Agent::~Agent() {
-  for (const std::shared_ptr<Session>& session : sessions_) session->orphan();
+  for (const std::shared_ptr<ClientConnection>& session : sessions_) session->orphan();
 }
 
 void Agent::accept() {
@@ -224,7 +224,7 @@
     if (!bad) {
       error_code ignored;
       socket.set_option(tcp::no_delay(true), ignored);
-      const auto session = std::make_shared<Session>(*this, std::move(socket));
+      const auto session = std::make_shared<ClientConnection>(*this, std::move(socket));
       sessions_.insert(session);
       session->start();
     }
@@ -237,13 +237,13 @@
   beat_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     if (!silent_) {
-      for (const std::shared_ptr<Session>& session : sessions_) session->beat();
+      for (const std::shared_ptr<ClientConnection>& session : sessions_) session->beat();
     }
     beat();
   });
 }
 
-void Agent::send(const Catalog& catalog) {
+void Agent::send(const RequestCatalog& catalog) {
   if (delay_ <= 0) return learn(catalog);
   const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(delay_));
   timer->async_wait([this, timer, catalog](error_code cancelled) {
@@ -251,7 +251,7 @@
   });
 }
 
-void Agent::learn(const Catalog& catalog) {
+void Agent::learn(const RequestCatalog& catalog) {
   if (silent_ || cut_off_) {
     missed_ = catalog;
     return;
@@ -260,7 +260,7 @@
   // A watch that has fallen silent tells nothing, and its node has to find that out; where lists are asked
   // for, so does one that has no watch open.
   bool open = false, stalled = false;
-  for (const std::shared_ptr<Session>& session : sessions_) {
+  for (const std::shared_ptr<ClientConnection>& session : sessions_) {
     open |= session->is_watch() && !session->is_stalled();
     stalled |= session->is_stalled();
   }
@@ -270,14 +270,14 @@
     audit_.told(node_, entry.name, entry.status == "up", entry.status == "up" ? clock_.now() : at);
   }
   catalog_ = catalog;
-  for (const std::shared_ptr<Session>& session : sessions_) session->tell(false);
+  for (const std::shared_ptr<ClientConnection>& session : sessions_) session->tell(false);
 }
 
 void Agent::set_silent(bool silent) {
   silent_ = silent;
   if (silent) return;
   if (missed_ && !cut_off_) learn(*std::exchange(missed_, std::nullopt));
-  for (const std::shared_ptr<Session>& session : sessions_) session->answer();
+  for (const std::shared_ptr<ClientConnection>& session : sessions_) session->answer();
 }
 
 void Agent::set_cut_off(bool cut_off) {
@@ -297,7 +297,7 @@
 }
 
 void Agent::stall_watches() {
-  for (const std::shared_ptr<Session>& session : sessions_) session->stall();
+  for (const std::shared_ptr<ClientConnection>& session : sessions_) session->stall();
 }
 
 }  // namespace nettleyoke::lab
--- a/lab/stand_ins/discovery_stand_in.h
+++ b/lab/stand_ins/discovery_stand_in.h
@@ -23,7 +23,7 @@
 };
 
 // A list of servers and how it came about.
-class Catalog {
+class RequestCatalog {
  public:
   std::uint64_t index() const { return index_; }
   void set(const Entry& entry);
@@ -61,7 +61,7 @@
 
   // Discovery sends it a version. While it is cut off or discovery is down it learns nothing, and has the
   // last version as it is back.
-  void send(const Catalog& catalog);
+  void send(const RequestCatalog& catalog);
   // Discovery is down: it accepts and says nothing.
   void set_silent(bool silent);
   // Nothing reaches it from discovery; it answers its node.
@@ -73,9 +73,9 @@
   void stall_watches();
 
  private:
-  class Session;
+  class ClientConnection;
   void accept();
-  void learn(const Catalog& catalog);
+  void learn(const RequestCatalog& catalog);
   void beat();
 
   boost::asio::io_context& io_;
@@ -85,9 +85,9 @@
   bool pushed_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer beat_;
-  std::set<std::shared_ptr<Session>> sessions_;
-  Catalog catalog_;                // what it has been sent
-  std::optional<Catalog> missed_;  // the last of what it was not
+  std::set<std::shared_ptr<ClientConnection>> sessions_;
+  RequestCatalog catalog_;                // what it has been sent
+  std::optional<RequestCatalog> missed_;  // the last of what it was not
   double delay_ = 0;
   bool silent_ = false, cut_off_ = false;
   Counts counts_;
--- a/lab/stand_ins/server_stand_in.cpp
+++ b/lab/stand_ins/server_stand_in.cpp
@@ -45,9 +45,9 @@
 
 // One connection. It always reads, also while a request is at work: so that it sees at once when its node
 // closes.
-class ServerStandIn::Session : public std::enable_shared_from_this<Session> {
+class ServerStandIn::ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  Session(ServerStandIn& owner, tcp::socket socket)
+  ClientConnection(ServerStandIn& owner, tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), idle_(owner.io_) {}
 
   void start() {
@@ -73,7 +73,7 @@
   }
 
   void rest() {
-    idle_.expires_after(Clock::span(owner_->limits_.idle_close));
+    idle_.expires_after(Clock::span(owner_->limits_.server_idle_timeout));
     idle_.async_wait([self = shared_from_this()](error_code cancelled) {
       if (cancelled || self->owner_ == nullptr || Clock::Steady::now() < self->idle_.expiry()) return;
       if (!self->at_work_) self->leave();
@@ -111,7 +111,7 @@
     id_ = field(request, "X-Request-ID");
     if (id_.empty()) return write(answer(404, "", false));
     const double now = owner_->clock_.now();
-    const std::weak_ptr<Session> weak = weak_from_this();
+    const std::weak_ptr<ClientConnection> weak = weak_from_this();
     const bool known = owner_->audit_.attempt_arrived(
         id_, owner_->number_, now,
         [weak] {
@@ -160,7 +160,7 @@
     Audit* audit = &owner_->audit_;
     const Clock* clock = &owner_->clock_;
     audit->call_sent(message.id, owner_->next_.node, class_, left, now);
-    const std::weak_ptr<Session> weak = weak_from_this();
+    const std::weak_ptr<ClientConnection> weak = weak_from_this();
     owner_->next_.client->call(
         message, audit->latest_answer(0, left),
         [weak, audit, clock, id = message.id, turn = turn_](const Client::Result& result) {
@@ -235,7 +235,7 @@
 }
 
 ServerStandIn::~ServerStandIn() {
-  for (const std::shared_ptr<Session>& session : sessions_) session->orphan();
+  for (const std::shared_ptr<ClientConnection>& session : sessions_) session->orphan();
 }
 
 std::string ServerStandIn::address() const {
@@ -256,7 +256,7 @@
       error_code ignored;
       socket.set_option(tcp::no_delay(true), ignored);
       ++accepted_;
-      const auto session = std::make_shared<Session>(*this, std::move(socket));
+      const auto session = std::make_shared<ClientConnection>(*this, std::move(socket));
       sessions_.insert(session);
       session->start();
     }
@@ -306,7 +306,7 @@
 void ServerStandIn::crash() {
   error_code ignored;
   acceptor_.close(ignored);
-  for (const std::shared_ptr<Session>& session : std::exchange(sessions_, {})) session->reset();
+  for (const std::shared_ptr<ClientConnection>& session : std::exchange(sessions_, {})) session->reset();
   model_.stop();
   while (!direct_.empty()) end_direct(direct_.begin()->first, AttemptEnd::kCut);
 }
--- a/lab/stand_ins/server_stand_in.h
+++ b/lab/stand_ins/server_stand_in.h
@@ -21,8 +21,8 @@
 class ServerStandIn {
  public:
   struct Limits {
-    std::size_t connections = 256;  // beyond these, requests are turned away
-    double idle_close = 30;         // s
+    std::size_t connections = 256;    // beyond these, requests are turned away
+    double server_idle_timeout = 30;  // s
   };
   // Calls that servers of one tier make to the next. `node`: the one beside this server.
   struct Next {
@@ -61,7 +61,7 @@
   void start();
 
  private:
-  class Session;
+  class ClientConnection;
   struct Direct {
     std::string id;
     Audit::AttemptNumber attempt = 0;
@@ -85,7 +85,7 @@
   Next next_;
   Unreachable unreachable_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::set<std::shared_ptr<Session>> sessions_;
+  std::set<std::shared_ptr<ClientConnection>> sessions_;
   std::map<DirectNumber, Direct> direct_;
   DirectNumber last_direct_ = 0;
   std::size_t accepted_ = 0;
--- a/node/admin/admin_server.cpp
+++ b/node/admin/admin_server.cpp
@@ -27,9 +27,10 @@
 
 }  // namespace
 
-class Ops::Caller : public std::enable_shared_from_this<Caller> {
+class AdminServer::Caller : public std::enable_shared_from_this<Caller> {
  public:
-  Caller(Ops& owner, tcp::socket socket) : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
+  Caller(AdminServer& owner, tcp::socket socket)
+      : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
 
   std::list<std::shared_ptr<Caller>>::iterator at;  // in the owner's list
 
@@ -48,7 +49,7 @@
     return answering_ || socket_.available(ignored) > 0;
   }
   void close() {
-    Ops* owner = std::exchange(owner_, nullptr);
+    AdminServer* owner = std::exchange(owner_, nullptr);
     if (owner == nullptr) return;
     halt(timer_);
     error_code ignored;
@@ -102,7 +103,7 @@
     });
   }
 
-  Ops* owner_;
+  AdminServer* owner_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   asio::streambuf line_{kLongestLine};
@@ -111,19 +112,20 @@
   bool answering_ = false;
 };
 
-Ops::Ops(asio::io_context& io, Calls calls) : io_(io), calls_(std::move(calls)), acceptor_(io), pause_(io) {}
+AdminServer::AdminServer(asio::io_context& io, Handlers calls)
+    : io_(io), calls_(std::move(calls)), acceptor_(io), pause_(io) {}
 
-Ops::~Ops() {
+AdminServer::~AdminServer() {
   for (const std::shared_ptr<Caller>& caller : callers_) caller->orphan();
 }
 
-void Ops::listen(const tcp::endpoint& where) {
+void AdminServer::listen(const tcp::endpoint& where) {
   tcp::acceptor acceptor(io_, where);  // reuses the address
   acceptor_ = std::move(acceptor);
   accept();
 }
 
-void Ops::accept() {
+void AdminServer::accept() {
   acceptor_.async_accept([this](error_code bad, tcp::socket socket) {
     if (bad == asio::error::operation_aborted) return;
     if (bad) {
@@ -146,7 +148,7 @@
   });
 }
 
-std::string Ops::answer(std::string line) const {
+std::string AdminServer::answer(std::string line) const {
   while (!line.empty() && (line.back() == '\n' || line.back() == '\r')) line.pop_back();
   const std::size_t space = line.find(' ');
   const std::string call = line.substr(0, space);
--- a/node/admin/admin_server.h
+++ b/node/admin/admin_server.h
@@ -12,20 +12,20 @@
 
 namespace nettleyoke::node {
 
-class Ops {
+class AdminServer {
  public:
   static constexpr std::size_t kMostCallers = 16;  // their descriptors are kept for them
 
-  struct Calls {
+  struct Handlers {
     std::function<bool()> ready;
     std::function<std::string()> stats;                                  // one line of JSON
     std::function<std::string(const std::string& id, bool enable)> set;  // why not; empty: it is done
   };
 
-  Ops(boost::asio::io_context& io, Calls calls);
-  ~Ops();
-  Ops(const Ops&) = delete;
-  Ops& operator=(const Ops&) = delete;
+  AdminServer(boost::asio::io_context& io, Handlers calls);
+  ~AdminServer();
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
 
   // Throws boost::system::system_error when the address can't be listened on.
   void listen(const boost::asio::ip::tcp::endpoint& where);
@@ -39,7 +39,7 @@
   std::string answer(std::string line) const;
 
   boost::asio::io_context& io_;
-  Calls calls_;
+  Handlers calls_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer pause_;             // after an accept that failed
   std::list<std::shared_ptr<Caller>> callers_;  // the oldest first
--- a/node/admin/metrics.cpp
+++ b/node/admin/metrics.cpp
@@ -7,12 +7,13 @@
 
 namespace nettleyoke::node {
 
-std::string Metrics::text(const Now& now) const {
+std::string Metrics::to_json(const Snapshot& now) const {
   rapidjson::StringBuffer out;
   rapidjson::Writer<rapidjson::StringBuffer> json(out);
   json.StartObject();
-  constexpr std::pair<const char*, End> kEnds[] = {
-      {"success", End::kServed}, {"busy", End::kRefused}, {"failure", End::kFailed}};
+  constexpr std::pair<const char*, RequestResult> kEnds[] = {{"success", RequestResult::kServed},
+                                                             {"busy", RequestResult::kRejected},
+                                                             {"failure", RequestResult::kFailed}};
   for (const auto& [field, end] : kEnds) {
     json.Key(field);
     json.StartObject();
--- a/node/admin/metrics.h
+++ b/node/admin/metrics.h
@@ -11,31 +11,31 @@
 namespace nettleyoke::node {
 
 // How a request ended, as its client sees it.
-enum class End { kServed, kRefused, kFailed };
+enum class RequestResult { kServed, kRejected, kFailed };
 
 class Metrics {
  public:
   // What is known only when it is asked for.
-  struct Now {
+  struct Snapshot {
     std::size_t hosts_listed = 0, hosts_down = 0;
   };
 
   // Classes show from here on, with what was counted for them before, if anything.
-  void show(const std::vector<std::string>& classes) {
+  void add_classes(const std::vector<std::string>& classes) {
     for (const std::string& name : classes) ends_.try_emplace(name);
   }
-  void taken() { inflight_ += 1; }
+  void request_started() { inflight_ += 1; }
   // The last byte of the final answer is written, or nobody waits for it any more.
-  void ended(const std::string& request_class, End how) {
+  void request_ended(const std::string& request_class, RequestResult how) {
     inflight_ -= 1;
     ends_[request_class][static_cast<std::size_t>(how)] += 1;
   }
   // The last byte of an attempt is written.
-  void attempt_written() { backend_calls_ += 1; }
-  void reloaded(bool good) { (good ? reconfig_ok_ : reconfig_failed_) += 1; }
+  void attempt_sent() { backend_calls_ += 1; }
+  void reload_finished(bool good) { (good ? reconfig_ok_ : reconfig_failed_) += 1; }
 
   // One line of JSON.
-  std::string text(const Now& now) const;
+  std::string to_json(const Snapshot& now) const;
 
  private:
   std::map<std::string, std::array<std::uint64_t, 3>> ends_;  // by class, as End counts
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -129,15 +129,15 @@
   }
   const json::Value& bounds = json::need(settings, "bounds");
   constexpr double kUsualDial = 0.25, kUsualIdle = 5;
-  out.dial_timeout = positive(bounds, "dialTimeout", kUsualDial);
-  out.idle_close = positive(bounds, "idleClose", kUsualIdle);
+  out.connect_timeout = positive(bounds, "dialTimeout", kUsualDial);
+  out.server_idle_timeout = positive(bounds, "idleClose", kUsualIdle);
   constexpr int kUsualOpen = 20000;
   const int max_open = json::whole_or(bounds, "maxOpen", kUsualOpen);
   if (max_open < 1) json::wrong("maxOpen", "at least 1");
   out.max_open = static_cast<std::size_t>(max_open);
   if (const json::Value* known = json::find(in, "known")) {
     try {
-      out.known = read_membership(*known, out.directory, clock);
+      out.known = read_endpoint_list(*known, out.directory, clock);
     } catch (const std::exception& problem) {
       throw std::runtime_error(std::string("known: ") + problem.what());
     }
--- a/node/config.h
+++ b/node/config.h
@@ -21,11 +21,11 @@
   std::size_t memory = 0;    // bytes that the process may take
   std::size_t sockets = 0;   // descriptors that the process may hold
   std::size_t max_open = 0;  // requests that the module may be given at once
-  double dial_timeout = 0, idle_close = 0;
+  double connect_timeout = 0, server_idle_timeout = 0;
   Settings settings;
   std::vector<std::string> class_names, tenant_names;  // in the order of the settings
-  Directory directory;
-  Membership known;
+  ZoneDirectory directory;
+  EndpointList known;
   std::set<std::string> keys;  // of the file, for the next one to have them too
 };
 
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -113,16 +113,16 @@
   return tcp::endpoint(address, port);
 }
 
-double pause_before_watch(int failures, double draw) {
+double rewatch_backoff(int failures, double draw) {
   return std::min(kLongestPause, std::ldexp(kShortestPause, std::min(failures, 10))) * (0.5 + draw);
 }
 
-Membership read_membership(const json::Value& in, const Directory& directory, const Clock& clock) {
-  Membership out;
-  out.index = json::token(in, "index");
-  out.full = json::flag(in, "snapshot");
+EndpointList read_endpoint_list(const json::Value& in, const ZoneDirectory& directory, const Clock& clock) {
+  EndpointList out;
+  out.version = json::token(in, "index");
+  out.is_full = json::flag(in, "snapshot");
   for (const json::Value& item : json::array(in, "endpoints").GetArray()) {
-    Member member;
+    Endpoint member;
     member.server.address = json::text(item, "name");
     const std::string_view status = json::text(item, "status");
     if (status == "up") {
@@ -151,15 +151,15 @@
       member.server.started =
           clock.from_unix_ms(static_cast<std::int64_t>(std::min(json::token(item, "since_ms"), kFarthest)));
     }
-    out.members.push_back(std::move(member));
+    out.endpoints.push_back(std::move(member));
   }
   return out;
 }
 
 // One call to discovery, from the dial to the end of its answer.
-class Discovery::Watch : public std::enable_shared_from_this<Watch> {
+class DiscoveryClient::Watch : public std::enable_shared_from_this<Watch> {
  public:
-  explicit Watch(Discovery& owner)
+  explicit Watch(DiscoveryClient& owner)
       : owner_(&owner), socket_(owner.io_), timer_(owner.io_), at_once_(owner.answers_at_once_) {}
 
   void start(const tcp::endpoint& where, std::uint64_t index) {
@@ -193,7 +193,7 @@
   }
 
   void end() {
-    Discovery* owner = std::exchange(owner_, nullptr);
+    DiscoveryClient* owner = std::exchange(owner_, nullptr);
     error_code ignored;
     halt(timer_);
     socket_.close(ignored);
@@ -264,7 +264,7 @@
     end();
   }
 
-  Discovery* owner_;
+  DiscoveryClient* owner_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   http::request<http::empty_body> request_;
@@ -276,8 +276,8 @@
   bool has_head_ = false, worked_ = false, owes_list_ = false;
 };
 
-Discovery::Discovery(asio::io_context& io, tcp::endpoint where, Directory directory, const Clock& clock,
-                     std::uint64_t seed, Listener listener)
+DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint where, ZoneDirectory directory,
+                                 const Clock& clock, std::uint64_t seed, Listener listener)
     : io_(io),
       where_(std::move(where)),
       directory_(std::move(directory)),
@@ -286,23 +286,23 @@
       jitter_(static_cast<std::minstd_rand::result_type>(seed)),
       again_(io) {}
 
-Discovery::~Discovery() {
+DiscoveryClient::~DiscoveryClient() {
   if (watch_) watch_->abandon();
 }
 
 // Guards against a timer for a new watch that was set before discovery moved: a second call would cost its
 // turn at a discovery that works through calls one by one, and the first one's answer with it.
-void Discovery::watch() {
+void DiscoveryClient::watch() {
   if (!watch_ && !is_pausing_) open();
 }
 
-void Discovery::open() {
+void DiscoveryClient::open() {
   if (watch_) watch_->abandon();
   watch_ = std::make_shared<Watch>(*this);
   watch_->start(where_, index_);
 }
 
-void Discovery::move_to(const tcp::endpoint& where) {
+void DiscoveryClient::move_to(const tcp::endpoint& where) {
   if (where == where_ && watch_) return;
   where_ = where;
   // Nothing says that versions are counted alike at both addresses: a change between them must not be missed.
@@ -313,13 +313,13 @@
   open();
 }
 
-void Discovery::take_object(const std::shared_ptr<Watch>& from, std::string_view object) {
-  Membership update;
+void DiscoveryClient::take_object(const std::shared_ptr<Watch>& from, std::string_view object) {
+  EndpointList update;
   try {
     rapidjson::Document in;
     in.Parse<rapidjson::kParseIterativeFlag>(object.data(), object.size());
     if (in.HasParseError()) throw std::runtime_error("not valid JSON");
-    update = read_membership(in, directory_, clock_);
+    update = read_endpoint_list(in, directory_, clock_);
   } catch (const std::exception& problem) {
     // The old list stays. Its changes are missed, so the watch starts again from before it.
     complain(std::string("discovery: ") + problem.what());
@@ -327,11 +327,11 @@
   }
   complained_ = false;
   moved_until_ = {};
-  index_ = update.index;
+  index_ = update.version;
   listener_.update(update);
 }
 
-void Discovery::end(const std::shared_ptr<Watch>& from) {
+void DiscoveryClient::end(const std::shared_ptr<Watch>& from) {
   if (watch_ != from) return;
   watch_.reset();
   if (Clock::Steady::now() >= moved_until_) return listener_.failed();
@@ -346,7 +346,7 @@
   });
 }
 
-void Discovery::complain(const std::string& text) {
+void DiscoveryClient::complain(const std::string& text) {
   if (!std::exchange(complained_, true)) std::clog << text << '\n';
 }
 
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -21,55 +21,55 @@
 namespace nettleyoke::node {
 
 // How discovery names what the module knows by number.
-struct Directory {
+struct ZoneDirectory {
   std::vector<std::string> zones;
 };
 
-struct Member {
+struct Endpoint {
   Server server;  // its address is the server's name: the same at every node, which real addresses are not
   boost::asio::ip::tcp::endpoint endpoint;
 };
 
 // A list, or what changed in it.
-struct Membership {
-  std::uint64_t index = 0;
-  bool full = false;
-  std::vector<Member> members;
+struct EndpointList {
+  std::uint64_t version = 0;
+  bool is_full = false;
+  std::vector<Endpoint> endpoints;
 };
 
 std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view text);
 
 // Throws std::exception, naming the field.
-Membership read_membership(const json::Value& in, const Directory& directory, const Clock& clock);
+EndpointList read_endpoint_list(const json::Value& in, const ZoneDirectory& directory, const Clock& clock);
 
 // s; how long to wait before a broken watch is made anew, after so many that brought nothing, for a draw from
 // 0 to 1. Danger: what discovery has to tell counts as told whether it arrives or not, so that the first must
 // not wait; and many nodes lose their watches together, so that they must not come back together.
-double pause_before_watch(int failures, double draw);
+double rewatch_backoff(int failures, double draw);
 
-class Discovery {
+class DiscoveryClient {
  public:
   // `update` for each list and each change, `works` once a watch has brought anything, be it an empty line,
   // and `failed` once when it ends. None is called from within watch().
   struct Listener {
-    std::function<void(const Membership&)> update;
+    std::function<void(const EndpointList&)> update;
     std::function<void()> works, failed;
   };
 
-  Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint where, Directory directory,
-            const Clock& clock, std::uint64_t seed, Listener listener);
-  ~Discovery();
-  Discovery(const Discovery&) = delete;
-  Discovery& operator=(const Discovery&) = delete;
+  DiscoveryClient(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint where, ZoneDirectory directory,
+                  const Clock& clock, std::uint64_t seed, Listener listener);
+  ~DiscoveryClient();
+  DiscoveryClient(const DiscoveryClient&) = delete;
+  DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
   // Asks for the changes after the list in hand, unless a watch is open or about to be.
   void watch();
   // Discovery has moved: the watch goes on at the new address, with the whole list.
   void move_to(const boost::asio::ip::tcp::endpoint& where);
-  void set_directory(Directory directory) { directory_ = std::move(directory); }
-  void set_index(std::uint64_t index) { index_ = index; }
+  void set_directory(ZoneDirectory directory) { directory_ = std::move(directory); }
+  void set_list_version(std::uint64_t index) { index_ = index; }
   // Whether a call is answered at once, as by an agent that lists are pushed to; else it may have to wait.
-  void set_answers_at_once(bool at_once) { answers_at_once_ = at_once; }
+  void set_responds_immediately(bool at_once) { answers_at_once_ = at_once; }
 
  private:
   class Watch;
@@ -80,7 +80,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint where_;
-  Directory directory_;
+  ZoneDirectory directory_;
   const Clock& clock_;
   Listener listener_;
   std::minstd_rand jitter_;
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -62,7 +62,7 @@
 bool Dispatcher::Held::any_open() const { return std::find(open.begin(), open.end(), true) != open.end(); }
 
 Dispatcher::Dispatcher(asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
-                       std::size_t max_open, Upstream& upstream, std::function<void()> watch)
+                       std::size_t max_open, UpstreamClient& upstream, std::function<void()> watch)
     : io_(io),
       clock_(clock),
       balancer_(settings, seed),
@@ -74,13 +74,13 @@
       watch_(std::move(watch)),
       watch_again_(io) {}
 
-void Dispatcher::start(const Membership& known) {
-  if (!known.members.empty()) members(known);
+void Dispatcher::start(const EndpointList& known) {
+  if (!known.endpoints.empty()) members(known);
   happen(Started{});
   if (!must_watch_) watch_();
 }
 
-void Dispatcher::replace(const Settings& settings, std::size_t max_open) {
+void Dispatcher::replace_settings(const Settings& settings, std::size_t max_open) {
   const bool watched = std::exchange(must_watch_, settings.must_watch);
   max_open_ = max_open;
   busy_retry_after_ = settings.max_retry_after / 2;
@@ -89,10 +89,10 @@
   if (watched && !must_watch_) watch_();
 }
 
-void Dispatcher::take(Request event, std::shared_ptr<const Outgoing> message, AnswerTo answer_to) {
+void Dispatcher::accept(Request event, std::shared_ptr<const OutgoingRequest> message, AnswerTo answer_to) {
   // Turned away before the module hears of it, as the settings have it.
   if (held_.size() >= max_open_) {
-    return answer_to({Answer::Kind::kRefused, busy_retry_after_, {}, nullptr});
+    return answer_to({FinalAnswer::Kind::kRejected, busy_retry_after_, {}, nullptr});
   }
   const std::string id = event.id;
   const double now = clock_.now();
@@ -125,7 +125,7 @@
 // Danger: what was taken before may have been given longer than there is, by classes that are not in force
 // any more too, and would be open still when the process is killed. Bodies that are on their way find the
 // bound when their clock begins.
-void Dispatcher::answer_all_within(double seconds) {
+void Dispatcher::bound_answers(double seconds) {
   last_answer_ = clock_.now() + seconds;
   for (auto& [id, held] : held_) {
     if (!held.over() && held.guard && held.until + margin_of(held.time_left) > last_answer_)
@@ -133,14 +133,14 @@
   }
 }
 
-void Dispatcher::complete(const std::string& id) {
+void Dispatcher::on_body_complete(const std::string& id) {
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.over()) return;
   run_clock(id, at->second);
   happen(RequestBodyComplete{id});
 }
 
-void Dispatcher::client_gone(const std::string& id) {
+void Dispatcher::on_client_disconnected(const std::string& id) {
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.over()) return;
   at->second.answer_to = nullptr;
@@ -157,41 +157,41 @@
 void Dispatcher::withdraw(const std::string& id) {
   const auto at = held_.find(id);
   if (at == held_.end()) return;
-  for (const Upstream::Handle& attempt : at->second.attempts) upstream_.withdraw(attempt);
+  for (const UpstreamClient::AttemptHandle& attempt : at->second.attempts) upstream_.withdraw_unsent(attempt);
 }
 
-void Dispatcher::told(const Membership& update) {
+void Dispatcher::on_endpoint_list(const EndpointList& update) {
   has_list_ = true;
   members(update);
 }
 
 // Danger: watches that bring empty lines alone, while nothing changes, and then die are no failures. Taken
 // for such they would have the next ones wait ever longer, up to past the time when a change counts as told.
-void Dispatcher::watch_works() {
+void Dispatcher::on_watch_alive() {
   failures_ = 0;
   if (!listed_.empty()) happen(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
 }
 
-void Dispatcher::members(const Membership& update) {
+void Dispatcher::members(const EndpointList& update) {
   MembershipUpdate event;
-  event.form = update.full ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
+  event.form = update.is_full ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
   std::set<std::string> named;
-  for (const Member& member : update.members) {
+  for (const Endpoint& member : update.endpoints) {
     const std::string& name = member.server.address;
     if (member.server.state == ServerState::kRemoved) {
-      upstream_.retire(name);
+      upstream_.remove_server(name);
       listed_.erase(name);
     } else {
       listed_[name] = member;
-      upstream_.place(name, member.endpoint, member.server.started, is_usable(member));
+      upstream_.update_server(name, member.endpoint, member.server.started, is_usable(member));
     }
     named.insert(name);
     event.servers.push_back(member.server);
   }
   // What a full list lacks is gone.
   for (auto at = listed_.begin(); at != listed_.end();) {
-    if (update.full && !named.contains(at->first)) {
-      upstream_.retire(at->first);
+    if (update.is_full && !named.contains(at->first)) {
+      upstream_.remove_server(at->first);
       at = listed_.erase(at);
     } else {
       ++at;
@@ -206,7 +206,7 @@
       listed_.begin(), listed_.end(), [this](const auto& entry) { return is_usable(entry.second); }));
 }
 
-void Dispatcher::take_out(const std::set<std::string>& servers) {
+void Dispatcher::set_disabled_servers(const std::set<std::string>& servers) {
   std::vector<std::string> changed;
   std::set_symmetric_difference(out_.begin(), out_.end(), servers.begin(), servers.end(),
                                 std::back_inserter(changed));
@@ -216,20 +216,20 @@
     std::clog << (enabled ? "enabled by hand: " : "disabled by hand: ") << name << '\n';
     const auto at = listed_.find(name);
     if (at != listed_.end()) {
-      const Member& member = at->second;
-      upstream_.place(name, member.endpoint, member.server.started, is_usable(member));
+      const Endpoint& member = at->second;
+      upstream_.update_server(name, member.endpoint, member.server.started, is_usable(member));
     }
     happen(ServerAdminStateChanged{name, enabled});
   }
   count_ready();
 }
 
-void Dispatcher::watch_failed() {
+void Dispatcher::on_watch_failed() {
   happen(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
   if (must_watch_) return;
   // Where lists are pushed the module asks for none: it is for the node to stay connected.
   watch_again_.expires_after(
-      Clock::span(pause_before_watch(failures_++, std::uniform_real_distribution<>()(jitter_))));
+      Clock::span(rewatch_backoff(failures_++, std::uniform_real_distribution<>()(jitter_))));
   watch_again_.async_wait([this](error_code cancelled) {
     if (!cancelled) watch_();
   });
@@ -276,10 +276,10 @@
 
 // A large answer is the client's from its first bytes on.
 void Dispatcher::answer_begins(const std::string& id, int attempt, HttpResponse&& head,
-                               std::shared_ptr<Pipe> body, double elapsed) {
+                               std::shared_ptr<BodyPipe> body, double elapsed) {
   const auto at = held_.find(id);
-  if (at == held_.end() || at->second.over()) return body->leave();
-  answer(at->second, {Answer::Kind::kServed, 0, std::move(head), std::move(body)});
+  if (at == held_.end() || at->second.over()) return body->close_reader();
+  answer(at->second, {FinalAnswer::Kind::kServed, 0, std::move(head), std::move(body)});
   happen(ResponseStarted{id, attempt, elapsed});
 }
 
@@ -290,7 +290,7 @@
   Held& held = at->second;
   held.open[static_cast<std::size_t>(attempt)] = false;
   if (outcome == Outcome::kSucceeded && !held.over()) {
-    answer(held, {Answer::Kind::kServed, 0, std::move(response), nullptr});
+    answer(held, {FinalAnswer::Kind::kServed, 0, std::move(response), nullptr});
   }
   AttemptResult event;
   event.id = id;
@@ -308,12 +308,12 @@
 
 // ---------------------------------------------------------------- the final answer
 
-void Dispatcher::answer(Held& held, Answer&& answer) {
+void Dispatcher::answer(Held& held, FinalAnswer&& answer) {
   const AnswerTo answer_to = std::exchange(held.answer_to, nullptr);
   held.guard.reset();
-  const bool served = answer.kind == Answer::Kind::kServed;
+  const bool served = answer.kind == FinalAnswer::Kind::kServed;
   held.went_badly |= !served;
-  held.path += served ? ", served" : answer.kind == Answer::Kind::kRefused ? ", refused" : ", failed";
+  held.path += served ? ", served" : answer.kind == FinalAnswer::Kind::kRejected ? ", refused" : ", failed";
   held.path += " after " + milliseconds(clock_.now() - held.since);
   answer_to(std::move(answer));
 }
@@ -341,7 +341,7 @@
 void Dispatcher::overdue(const std::string& id) {
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.over()) return;
-  answer(at->second, {Answer::Kind::kFailed, 0, {}, nullptr});
+  answer(at->second, {FinalAnswer::Kind::kFailed, 0, {}, nullptr});
   happen(RequestCancelled{id});
   withdraw(id);
   // The module cancels what it may; what is out besides ends by its own time-out, which lies before this
@@ -363,9 +363,9 @@
   held.open.push_back(true);
   held.servers.push_back(action.server);
   const double deadline = action.deadline == 0 ? left : std::min(action.deadline, left);
-  held.attempts.push_back(upstream_.start(
+  held.attempts.push_back(upstream_.start_attempt(
       action.server, held.message, {timeout, deadline, action.send_within},
-      {[this, id = action.id, attempt](HttpResponse&& head, std::shared_ptr<Pipe> body, double elapsed) {
+      {[this, id = action.id, attempt](HttpResponse&& head, std::shared_ptr<BodyPipe> body, double elapsed) {
          answer_begins(id, attempt, std::move(head), std::move(body), elapsed);
        },
        [this, id = action.id, attempt](Outcome outcome, HttpResponse&& response, double elapsed) {
@@ -376,14 +376,14 @@
 void Dispatcher::perform(const Reject& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end() || at->second.over()) return;
-  answer(at->second, {Answer::Kind::kRefused, action.retry_after, {}, nullptr});
+  answer(at->second, {FinalAnswer::Kind::kRejected, action.retry_after, {}, nullptr});
   settle(action.id);
 }
 
 void Dispatcher::perform(const Fail& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end() || at->second.over()) return;
-  answer(at->second, {Answer::Kind::kFailed, 0, {}, nullptr});
+  answer(at->second, {FinalAnswer::Kind::kFailed, 0, {}, nullptr});
   settle(action.id);
 }
 
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -23,58 +23,58 @@
 namespace nettleyoke::node {
 
 // A request's final answer.
-struct Answer {
-  enum class Kind { kServed, kRefused, kFailed };
+struct FinalAnswer {
+  enum class Kind { kServed, kRejected, kFailed };
   Kind kind = Kind::kFailed;
-  double retry_after = 0;                // refused: when to come back; 0: no advice
-  HttpResponse response;                 // served: the server's
-  std::shared_ptr<Pipe> body = nullptr;  // served: what the response does not hold, as it comes
+  double retry_after = 0;                    // refused: when to come back; 0: no advice
+  HttpResponse response;                     // served: the server's
+  std::shared_ptr<BodyPipe> body = nullptr;  // served: what the response does not hold, as it comes
 };
 
 class Dispatcher {
  public:
-  using AnswerTo = std::function<void(Answer&&)>;
+  using AnswerTo = std::function<void(FinalAnswer&&)>;
 
   // `watch` asks discovery anew.
   Dispatcher(boost::asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
-             std::size_t max_open, Upstream& upstream, std::function<void()> watch);
+             std::size_t max_open, UpstreamClient& upstream, std::function<void()> watch);
 
   // The list that is known from before, if any, then the start.
-  void start(const Membership& known);
+  void start(const EndpointList& known);
   bool can_serve() const { return ready_ > 0; }
   // Whether discovery has told anything yet, beside what is known from before.
   bool has_list() const { return has_list_; }
   bool is_listed(const std::string& server) const { return listed_.contains(server); }
-  std::size_t listed() const { return listed_.size(); }
-  std::size_t avoided() const { return balancer_.unavailable_servers(clock_.now()); }
+  std::size_t listed_servers() const { return listed_.size(); }
+  std::size_t unavailable_servers() const { return balancer_.unavailable_servers(clock_.now()); }
   // Other settings, which can be used: the module holds them valid.
-  void replace(const Settings& settings, std::size_t max_open);
+  void replace_settings(const Settings& settings, std::size_t max_open);
   // The servers that operators have taken out, listed or not.
-  void take_out(const std::set<std::string>& servers);
+  void set_disabled_servers(const std::set<std::string>& servers);
 
   // Takes a request whose client waits until `event.time_left` from now. The answer may come at once.
-  void take(Request event, std::shared_ptr<const Outgoing> message, AnswerTo answer_to);
+  void accept(Request event, std::shared_ptr<const OutgoingRequest> message, AnswerTo answer_to);
   // The last byte of a request whose body was still coming has come; its time runs from here.
-  void complete(const std::string& id);
+  void on_body_complete(const std::string& id);
   // Whether a request of this id is open, or has attempts out.
-  bool holds(const std::string& id) const { return held_.contains(id); }
-  void client_gone(const std::string& id);
+  bool is_open(const std::string& id) const { return held_.contains(id); }
+  void on_client_disconnected(const std::string& id);
   // The process is to end: every request that is open then, or comes later, has its answer so many s from
   // now.
-  void answer_all_within(double seconds);
+  void bound_answers(double seconds);
   // What discovery tells, that it is there though it may have nothing to tell, and that it has stopped.
-  void told(const Membership& update);
-  void watch_works();
-  void watch_failed();
+  void on_endpoint_list(const EndpointList& update);
+  void on_watch_alive();
+  void on_watch_failed();
 
  private:
   struct Held {
-    std::shared_ptr<const Outgoing> message;
+    std::shared_ptr<const OutgoingRequest> message;
     AnswerTo answer_to;    // empty once the final answer is out, or nobody waits for it
     double until = 0;      // when attempts end, a margin before the client gives up
     double time_left = 0;  // from the last byte of the request
     std::unique_ptr<boost::asio::steady_timer> guard;
-    std::vector<Upstream::Handle> attempts;
+    std::vector<UpstreamClient::AttemptHandle> attempts;
     std::vector<bool> open;
     std::vector<std::string> servers;  // of the attempts
     double since = 0;                  // when it was taken
@@ -84,20 +84,20 @@
     bool any_open() const;
   };
 
-  bool is_usable(const Member& member) const {
+  bool is_usable(const Endpoint& member) const {
     return member.server.state == ServerState::kReady && !out_.contains(member.server.address);
   }
-  void members(const Membership& update);
+  void members(const EndpointList& update);
   void count_ready();
   void happen(Event event);
   void handle(const Event& event);
-  void answer_begins(const std::string& id, int attempt, HttpResponse&& head, std::shared_ptr<Pipe> body,
+  void answer_begins(const std::string& id, int attempt, HttpResponse&& head, std::shared_ptr<BodyPipe> body,
                      double elapsed);
   void attempt_ended(const std::string& id, int attempt, Outcome outcome, HttpResponse&& response,
                      double elapsed);
   void run_clock(const std::string& id, Held& held);
   void end_by(const std::string& id, Held& held, double end);
-  void answer(Held& held, Answer&& answer);
+  void answer(Held& held, FinalAnswer&& answer);
   void withdraw(const std::string& id);
   void settle(const std::string& id);
   void log_path(const std::string& id, const Held& held);
@@ -118,10 +118,10 @@
   std::minstd_rand jitter_;
   std::size_t max_open_;
   double busy_retry_after_;
-  Upstream& upstream_;
+  UpstreamClient& upstream_;
   std::function<void()> watch_;
   std::unordered_map<std::string, Held> held_;
-  std::unordered_map<std::string, Member> listed_;
+  std::unordered_map<std::string, Endpoint> listed_;
   std::set<std::string> out_;  // by hand
   std::size_t ready_ = 0;      // that may get work
   bool has_list_ = false;
--- a/node/downstream/downstream_server.cpp
+++ b/node/downstream/downstream_server.cpp
@@ -78,18 +78,18 @@
 
 // A request on its way, with what it holds of the memory.
 struct Message {
-  explicit Message(Budget& budget) : share(budget) {}
-  Outgoing out;
-  Budget::Share share;
+  explicit Message(MemoryBudget& budget) : share(budget) {}
+  OutgoingRequest out;
+  MemoryBudget::Reservation share;
 };
 
 }  // namespace
 
 // One client's connection. A read on it, or a look now and then, notices a client that goes; what comes ahead
 // of its turn is kept, up to a bound.
-class Frontend::Session : public std::enable_shared_from_this<Session> {
+class DownstreamServer::ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  Session(Frontend& owner, tcp::socket socket, bool turned_away)
+  ClientConnection(DownstreamServer& owner, tcp::socket socket, bool turned_away)
       : owner_(&owner),
         socket_(std::move(socket)),
         timer_(owner.io_),
@@ -106,7 +106,7 @@
     if (list_ != nullptr) std::exchange(list_, nullptr)->erase(listed_at_);
   }
 
-  std::list<std::shared_ptr<Session>>::iterator at;  // in the owner's list
+  std::list<std::shared_ptr<ClientConnection>>::iterator at;  // in the owner's list
 
   // Has sent nothing of a request for at least so many s.
   bool is_quiet(double seconds) const {
@@ -148,10 +148,11 @@
     halt(presence_);
     socket_.close(ignored);
     let_go();
-    Frontend* owner = std::exchange(owner_, nullptr);
+    DownstreamServer* owner = std::exchange(owner_, nullptr);
     if (owner == nullptr) return;
-    if (waiting) owner->dispatcher_.client_gone(id_);
-    if (counted_) owner->metrics_.ended(*std::exchange(counted_, std::nullopt), End::kFailed);
+    if (waiting) owner->dispatcher_.on_client_disconnected(id_);
+    if (counted_)
+      owner->metrics_.request_ended(*std::exchange(counted_, std::nullopt), RequestResult::kFailed);
     owner->ended(*this);
   }
   void orphan() {
@@ -186,8 +187,8 @@
 
   // Bodies that are on their way: the other side learns that nobody is here any more.
   void let_go() {
-    if (upload_) std::exchange(upload_, nullptr)->break_off();
-    if (download_) std::exchange(download_, nullptr)->leave();
+    if (upload_) std::exchange(upload_, nullptr)->abort();
+    if (download_) std::exchange(download_, nullptr)->close_reader();
   }
 
   // ---------------------------------------------------------------- reading
@@ -214,7 +215,7 @@
     read();  // the turn may have come out of what was read ahead, and made room
   }
 
-  void enlist(std::list<Session*>& list) {
+  void enlist(std::list<ClientConnection*>& list) {
     unlist();
     list_ = &list;
     listed_at_ = list.insert(list.end(), this);
@@ -223,7 +224,7 @@
   // Guards against buffers that stay as large as the largest request that a connection has ever carried.
   void trim() {
     if (ahead_.capacity() > kKeptAhead) ahead_.shrink_to_fit();
-    share_.keep(ahead_.capacity());
+    share_.resize(ahead_.capacity());
   }
 
   void read() {
@@ -241,7 +242,7 @@
   }
 
   bool may_read() const {
-    return ahead_.size() <= kMostAhead - kReadSize && (!upload_ || upload_->has_room());
+    return ahead_.size() <= kMostAhead - kReadSize && (!upload_ || upload_->is_writable());
   }
 
   // While nothing more is taken in no read tells of a client that goes: it is looked for now and then.
@@ -299,7 +300,7 @@
   // Feeds the parser with what has come, up to the end of one request, or as far as there is room for its
   // body.
   void parse() {
-    while ((state_ == State::kReading || (upload_ && upload_->has_room())) && ahead_.size() > 0) {
+    while ((state_ == State::kReading || (upload_ && upload_->is_writable())) && ahead_.size() > 0) {
       if (!begun_) {
         begun_ = true;
         if (proven_) {
@@ -345,14 +346,14 @@
       allow(std::min(kBodyPause, kBodyStart + static_cast<double>(came_) / kSlowest - since));
     }
     if (upload_) {
-      if (!upload_->has_room()) wait_for_room();
+      if (!upload_->is_writable()) wait_for_room();
       return true;
     }
-    const bool held = share_.hold(ahead_.capacity() + body_.capacity());
+    const bool held = share_.try_resize(ahead_.capacity() + body_.capacity());
     if (held && body_.size() <= most_held()) return true;
     if (parser_->is_done()) return held || refuse_unread();
     if (body_.size() <= kWholeBody) return refuse_unread();
-    upload_ = std::make_shared<Pipe>(owner_->io_, owner_->budget_, length());
+    upload_ = std::make_shared<BodyPipe>(owner_->io_, owner_->budget_, length());
     handle();
     return upload_ != nullptr;
   }
@@ -373,10 +374,10 @@
   // The server is slower than the caller, who can't help it.
   void wait_for_room() {
     halt(timer_);
-    upload_->when_room([weak = weak_from_this()] {
+    upload_->when_writable([weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->owner_ == nullptr || !self->upload_) return;
-      if (self->upload_->is_left()) return;  // the answer is on its way
+      if (self->upload_->is_reader_closed()) return;  // the answer is on its way
       self->allow(kBodyPause);
       self->parse();
       self->read();
@@ -394,7 +395,7 @@
     halt(timer_);
     std::exchange(upload_, nullptr)->finish();
     count_taken();
-    owner_->dispatcher_.complete(id_);
+    owner_->dispatcher_.on_body_complete(id_);
   }
 
   // What the head says of the body, before the body has come.
@@ -443,7 +444,7 @@
     const bool late = Clock::Steady::now() < owner_->late_until_;
     if (const auto bad = read_request(*request_, owner_->catalog_, late, event))
       return reject(*bad, upload_ != nullptr);
-    if (owner_->dispatcher_.holds(event.id)) {
+    if (owner_->dispatcher_.is_open(event.id)) {
       return reject({http::status::bad_request, "X-Request-ID is that of an open request"},
                     upload_ != nullptr);
     }
@@ -451,8 +452,8 @@
     request_class_ = owner_->catalog_.class_names[event.request_class];
     if (!upload_) count_taken();
     const auto message = std::make_shared<Message>(owner_->budget_);
-    share_.keep(ahead_.capacity());  // the rest goes with the request
-    if (!message->share.hold(kHeadCost + request_->body().capacity()))
+    share_.resize(ahead_.capacity());  // the rest goes with the request
+    if (!message->share.try_resize(kHeadCost + request_->body().capacity()))
       return respond(refusal(owner_->limits_.busy_retry_after));
     if (owner_->draining_) {
       const std::chrono::duration<double> left = owner_->last_answer_ - Clock::Steady::now();
@@ -484,30 +485,30 @@
     state_ = State::kWaiting;
     unlist();
     if (!upload_) halt(timer_);
-    owner_->dispatcher_.take(std::move(event), {message, &message->out},
-                             [weak = weak_from_this()](Answer&& answer) {
-                               if (const auto self = weak.lock()) self->answer(std::move(answer));
-                             });
+    owner_->dispatcher_.accept(std::move(event), {message, &message->out},
+                               [weak = weak_from_this()](FinalAnswer&& answer) {
+                                 if (const auto self = weak.lock()) self->answer(std::move(answer));
+                               });
   }
 
   // ---------------------------------------------------------------- answers
 
-  static End end_of(http::status status) {
-    if (status == http::status::ok) return End::kServed;
+  static RequestResult end_of(http::status status) {
+    if (status == http::status::ok) return RequestResult::kServed;
     const bool refused =
         status == http::status::service_unavailable || status == http::status::too_many_requests;
-    return refused ? End::kRefused : End::kFailed;
+    return refused ? RequestResult::kRejected : RequestResult::kFailed;
   }
 
   void count_taken() {
     if (!request_class_) return;
     counted_ = std::exchange(request_class_, std::nullopt);
-    owner_->metrics_.taken();
+    owner_->metrics_.request_started();
   }
 
   // The last byte of the answer to a request that was taken is written.
-  void count(End how) {
-    if (counted_) owner_->metrics_.ended(*std::exchange(counted_, std::nullopt), how);
+  void count(RequestResult how) {
+    if (counted_) owner_->metrics_.request_ended(*std::exchange(counted_, std::nullopt), how);
   }
 
   static HttpResponse plain(http::status status, const std::string& text) {
@@ -526,21 +527,22 @@
   // An error of the caller's. After one that leaves the framing in doubt nothing more is read as requests.
   void reject(const Rejected& why, bool lost = true) {
     if (lost) keep_alive_ = false;
-    if (state_ == State::kWaiting) owner_->dispatcher_.client_gone(id_);  // its body went wrong on the way
+    if (state_ == State::kWaiting)
+      owner_->dispatcher_.on_client_disconnected(id_);  // its body went wrong on the way
     pause_ = true;
     respond(plain(why.status, std::string(why.text) + "\n"));
   }
 
-  void answer(Answer&& answer) {
+  void answer(FinalAnswer&& answer) {
     if (state_ != State::kWaiting || owner_ == nullptr) return;
     switch (answer.kind) {
-      case Answer::Kind::kServed:
+      case FinalAnswer::Kind::kServed:
         drop_hop_by_hop(answer.response);
         if (answer.body) return relay(std::move(answer));
         return respond(std::move(answer.response));
-      case Answer::Kind::kRefused:
+      case FinalAnswer::Kind::kRejected:
         return respond(refusal(answer.retry_after));
-      case Answer::Kind::kFailed:
+      case FinalAnswer::Kind::kFailed:
         return respond(plain(http::status::bad_gateway, "failed\n"));
     }
   }
@@ -558,7 +560,7 @@
 
   void respond(HttpResponse&& response) {
     begin_answer();
-    share_.keep(ahead_.capacity() + response.body().size());
+    share_.resize(ahead_.capacity() + response.body().size());
     response_ = std::move(response);
     response_.version(11);
     response_.keep_alive(keep_alive_);
@@ -575,7 +577,7 @@
   void written() {
     count(end_of(response_.result()));
     response_ = {};
-    share_.keep(ahead_.capacity());
+    share_.resize(ahead_.capacity());
     if (left_) return close();
     if (!keep_alive_) return linger();
     if (std::exchange(pause_, false)) {
@@ -590,7 +592,7 @@
   }
 
   // Passes a large answer on as it comes.
-  void relay(Answer&& answer) {
+  void relay(FinalAnswer&& answer) {
     begin_answer();
     download_ = std::move(answer.body);
     response_.base() = answer.response.base();
@@ -617,9 +619,9 @@
     if (owner_ == nullptr || state_ != State::kWriting || !download_) return;
     if (bad && bad != http::error::need_buffer) return close();
     piece_out_ = download_->take();
-    const bool last = piece_out_.empty() && download_->is_whole();
+    const bool last = piece_out_.empty() && download_->is_complete();
     if (piece_out_.empty() && !last) {
-      if (download_->is_broken()) return cut_off();
+      if (download_->is_aborted()) return cut_off();
       halt(timer_);  // it is the server that is waited for
       return download_->when_readable([weak = weak_from_this()] {
         if (const auto self = weak.lock()) self->relay_more({});
@@ -664,7 +666,7 @@
     read();
   }
 
-  Frontend* owner_;
+  DownstreamServer* owner_;
   tcp::socket socket_;
   asio::steady_timer timer_, presence_;
   bool turned_away_;
@@ -680,18 +682,19 @@
   bool keep_alive_ = true, continue_sent_ = false;
   std::array<char, kReadSize> scratch_{};
   boost::beast::flat_buffer ahead_;
-  Budget::Share share_;  // of read-ahead, and of the body that is coming or the answer that is going
-  std::list<Session*>* list_ = nullptr;
-  std::list<Session*>::iterator listed_at_;
+  MemoryBudget::Reservation
+      share_;  // of read-ahead, and of the body that is coming or the answer that is going
+  std::list<ClientConnection*>* list_ = nullptr;
+  std::list<ClientConnection*>::iterator listed_at_;
   std::size_t lingered_ = 0;
   Clock::Steady::time_point quiet_since_;  // when it was last ready for a request
   std::optional<http::request_parser<http::buffer_body>> parser_;
-  std::string body_;                   // as far as it has come and is held
-  std::size_t came_ = 0;               // bytes of the body
-  Clock::Steady::time_point head_at_;  // when the head was whole
-  std::shared_ptr<Pipe> upload_;       // where the rest of the body goes, until it is all there
-  bool unread_ = false;                // the answer came before the request was all there
-  std::shared_ptr<Pipe> download_;     // where the body of a large answer comes from
+  std::string body_;                    // as far as it has come and is held
+  std::size_t came_ = 0;                // bytes of the body
+  Clock::Steady::time_point head_at_;   // when the head was whole
+  std::shared_ptr<BodyPipe> upload_;    // where the rest of the body goes, until it is all there
+  bool unread_ = false;                 // the answer came before the request was all there
+  std::shared_ptr<BodyPipe> download_;  // where the body of a large answer comes from
   std::optional<http::response<http::buffer_body>> relayed_;
   std::optional<http::response_serializer<http::buffer_body>> serializer_;
   std::string piece_out_;
@@ -700,8 +703,8 @@
   HttpResponse response_;
 };
 
-Frontend::Frontend(asio::io_context& io, const Limits& limits, Catalog catalog, Budget& budget,
-                   Dispatcher& dispatcher, Metrics& metrics)
+DownstreamServer::DownstreamServer(asio::io_context& io, const Limits& limits, RequestCatalog catalog,
+                                   MemoryBudget& budget, Dispatcher& dispatcher, Metrics& metrics)
     : io_(io),
       acceptor_(io),
       timer_(io),
@@ -712,7 +715,7 @@
       metrics_(metrics),
       spare_(::open("/dev/null", O_RDONLY | O_CLOEXEC)) {}
 
-void Frontend::listen(const tcp::endpoint& where) {
+void DownstreamServer::listen(const tcp::endpoint& where) {
   tcp::acceptor acceptor(io_, where.protocol());
   acceptor.set_option(tcp::acceptor::reuse_address(true));
   acceptor.bind(where);
@@ -720,25 +723,25 @@
   acceptor_ = std::move(acceptor);
 }
 
-void Frontend::adopt(int listener) {
+void DownstreamServer::serve_on_inherited_listener(int listener) {
   acceptor_.assign(tcp::v4(), listener);
   adopted_ = true;
 }
 
-void Frontend::replace(Catalog catalog, double busy_retry_after) {
+void DownstreamServer::replace_catalog(RequestCatalog catalog, double busy_retry_after) {
   catalog_ = std::move(catalog);
   limits_.busy_retry_after = busy_retry_after;
   late_until_ = Clock::Steady::now() + Clock::span(kLate);
 }
 
-Frontend::~Frontend() {
-  for (const std::shared_ptr<Session>& session : sessions_) session->orphan();
+DownstreamServer::~DownstreamServer() {
+  for (const std::shared_ptr<ClientConnection>& session : sessions_) session->orphan();
   if (spare_ >= 0) ::close(spare_);
 }
 
-void Frontend::start() { accept(); }
+void DownstreamServer::start() { accept(); }
 
-void Frontend::accept() {
+void DownstreamServer::accept() {
   if (stopping_) return stop_accepting();
   if (accepting_ || !acceptor_.is_open() || sessions_.size() >= limits_.most + limits_.overflow) return;
   accepting_ = true;
@@ -757,7 +760,7 @@
 // system reports the missing descriptor also while the queue is empty. Then the reserved descriptor is taken
 // back at once; left free, it would admit the next client as one that can be served, and leave its attempts
 // without a descriptor.
-void Frontend::accept_failed() {
+void DownstreamServer::accept_failed() {
   const bool has_way = evict();
   if (!has_way && spare_ >= 0) ::close(std::exchange(spare_, -1));
   error_code bad;
@@ -775,11 +778,11 @@
   });
 }
 
-void Frontend::admit(tcp::socket socket, bool by_spare) {
+void DownstreamServer::admit(tcp::socket socket, bool by_spare) {
   const bool full = by_spare || (sessions_.size() >= limits_.most && !evict());
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
-  const auto session = std::make_shared<Session>(*this, std::move(socket), full);
+  const auto session = std::make_shared<ClientConnection>(*this, std::move(socket), full);
   session->at = sessions_.insert(sessions_.end(), session);
   session->start();
 }
@@ -788,9 +791,9 @@
 // two requests. Who has never asked for anything goes first, the one that has been there the longest before
 // the others. But one that is sending its first request, which may take it 2 s, stays while there are
 // connections that may be closed without harm: those that asked once and stay would push it out.
-bool Frontend::evict() {
-  const auto close_one = [](const std::list<Session*>& list, double quiet) {
-    for (Session* session : list) {
+bool DownstreamServer::evict() {
+  const auto close_one = [](const std::list<ClientConnection*>& list, double quiet) {
+    for (ClientConnection* session : list) {
       if ((quiet > 0 && !session->is_quiet(quiet)) || session->has_unread()) continue;
       session->make_way();
       return true;
@@ -801,7 +804,7 @@
          close_one(idle_, 0);
 }
 
-void Frontend::ended(Session& session) {
+void DownstreamServer::ended(ClientConnection& session) {
   sessions_.erase(session.at);
   if (spare_ < 0) spare_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   end_if_drained();
@@ -809,7 +812,7 @@
   asio::post(io_, [this] { accept(); });  // this may be from within its loop
 }
 
-void Frontend::drain(std::function<void()> done) {
+void DownstreamServer::drain(std::function<void()> done) {
   if (std::exchange(draining_, true)) return;
   drained_ = std::move(done);
   // Danger: classes that are no longer in force tell nothing of when the kill comes, and what is open of them
@@ -817,9 +820,9 @@
   double longest = 0;
   for (std::size_t i = 0; i < catalog_.in_force; ++i)
     longest = std::max(longest, std::min(catalog_.classes[i].client_timeout, kMostDrain));
-  dispatcher_.answer_all_within(kMostDrain + kLastAnswer);
+  dispatcher_.bound_answers(kMostDrain + kLastAnswer);
   last_answer_ = Clock::Steady::now() + Clock::span(longest + kLastAnswer);
-  const auto after = [this](double seconds, void (Frontend::*step)()) {
+  const auto after = [this](double seconds, void (DownstreamServer::*step)()) {
     const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(seconds));
     timer->async_wait([this, timer, step](error_code) { (this->*step)(); });
   };
@@ -828,14 +831,14 @@
     acceptor_.close(ignored);  // others hold it open, and what waits there is theirs
     end_if_drained();
   } else {
-    after(kAcceptOn, &Frontend::stop_accepting);
+    after(kAcceptOn, &DownstreamServer::stop_accepting);
   }
-  after(std::max(kAcceptOn, longest - kLastRequest), &Frontend::close_idle);
+  after(std::max(kAcceptOn, longest - kLastRequest), &DownstreamServer::close_idle);
 }
 
 // What has come up to now is still taken in. Danger: what waits in the queue when the listener closes is
 // reset, whatever has been written to it: it closes once the queue is empty, and goes on as room comes.
-void Frontend::stop_accepting() {
+void DownstreamServer::stop_accepting() {
   stopping_ = true;
   error_code bad;
   acceptor_.non_blocking(true, bad);
@@ -849,21 +852,21 @@
   end_if_drained();
 }
 
-void Frontend::close_idle() {
+void DownstreamServer::close_idle() {
   closing_ = true;
-  std::vector<std::shared_ptr<Session>> quiet;
-  for (const std::shared_ptr<Session>& session : sessions_) {
+  std::vector<std::shared_ptr<ClientConnection>> quiet;
+  for (const std::shared_ptr<ClientConnection>& session : sessions_) {
     if (session->is_idle() && !session->is_new() && !session->has_unread()) {
       quiet.push_back(session);
     } else {
       session->hurry();
     }
   }
-  for (const std::shared_ptr<Session>& session : quiet) session->close();
+  for (const std::shared_ptr<ClientConnection>& session : quiet) session->close();
   end_if_drained();
 }
 
-void Frontend::end_if_drained() {
+void DownstreamServer::end_if_drained() {
   if (draining_ && drained_ && !acceptor_.is_open() && sessions_.empty()) {
     asio::post(io_, std::exchange(drained_, nullptr));
   }
--- a/node/downstream/downstream_server.h
+++ b/node/downstream/downstream_server.h
@@ -19,7 +19,7 @@
 
 namespace nettleyoke::node {
 
-class Frontend {
+class DownstreamServer {
  public:
   struct Limits {
     std::size_t most = 0;      // connections; beyond it, idle ones are closed and new ones turned away
@@ -27,19 +27,19 @@
     double busy_retry_after = 0;
   };
 
-  Frontend(boost::asio::io_context& io, const Limits& limits, Catalog catalog, Budget& budget,
-           Dispatcher& dispatcher, Metrics& metrics);
-  ~Frontend();
-  Frontend(const Frontend&) = delete;
-  Frontend& operator=(const Frontend&) = delete;
+  DownstreamServer(boost::asio::io_context& io, const Limits& limits, RequestCatalog catalog,
+                   MemoryBudget& budget, Dispatcher& dispatcher, Metrics& metrics);
+  ~DownstreamServer();
+  DownstreamServer(const DownstreamServer&) = delete;
+  DownstreamServer& operator=(const DownstreamServer&) = delete;
 
   // Throws boost::system::system_error when the address can't be listened on.
   void listen(const boost::asio::ip::tcp::endpoint& where);
   // Other settings; requests that were taken go on by the rules they came under.
-  void replace(Catalog catalog, double busy_retry_after);
-  const Catalog& catalog() const { return catalog_; }
+  void replace_catalog(RequestCatalog catalog, double busy_retry_after);
+  const RequestCatalog& catalog() const { return catalog_; }
   // Serves on a listening socket that others hold too: a drain leaves what waits there to them.
-  void adopt(int listener);
+  void serve_on_inherited_listener(int listener);
   void start();
   boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
 
@@ -50,15 +50,15 @@
   bool draining() const { return draining_; }
 
  private:
-  class Session;
-  friend class Session;
+  class ClientConnection;
+  friend class ClientConnection;
 
   bool is_handing_over() const { return draining_ && adopted_; }
   void accept();
   void accept_failed();
   void admit(boost::asio::ip::tcp::socket socket, bool by_spare = false);
   bool evict();
-  void ended(Session& session);
+  void ended(ClientConnection& session);
   void stop_accepting();
   void close_idle();
   void end_if_drained();
@@ -67,14 +67,14 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer timer_;  // a pause after a failed accept; then for the drain
   Limits limits_;
-  Catalog catalog_;
-  Budget& budget_;
+  RequestCatalog catalog_;
+  MemoryBudget& budget_;
   Dispatcher& dispatcher_;
   Metrics& metrics_;
-  std::list<std::shared_ptr<Session>> sessions_;
+  std::list<std::shared_ptr<ClientConnection>> sessions_;
   // Those that may be closed for others, the one that has waited the longest first: callers that never asked
   // for anything that can be served, and those between two requests.
-  std::list<Session*> strangers_, idle_;
+  std::list<ClientConnection*> strangers_, idle_;
   int spare_ = -1;                                    // a descriptor in reserve
   std::array<char, std::size_t{16} * 1024> piece_{};  // of a body, while it is parsed
   bool accepting_ = false, draining_ = false, stopping_ = false, closing_ = false;
--- a/node/downstream/request_validation.cpp
+++ b/node/downstream/request_validation.cpp
@@ -41,14 +41,15 @@
 }
 
 // By the classes from one place up to another.
-std::optional<Rejected> read_as(const HttpRequest& request, const Catalog& catalog, std::size_t from,
+std::optional<Rejected> read_as(const HttpRequest& request, const RequestCatalog& catalog, std::size_t from,
                                 std::size_t to, Request& event);
 
 }  // namespace
 
-Catalog next_catalog(const Catalog& before, std::vector<std::string> class_names,
-                     std::vector<std::string> tenant_names, Settings& settings) {
-  Catalog out{std::move(class_names), std::move(tenant_names), settings.classes, settings.classes.size()};
+RequestCatalog next_catalog(const RequestCatalog& before, std::vector<std::string> class_names,
+                            std::vector<std::string> tenant_names, Settings& settings) {
+  RequestCatalog out{std::move(class_names), std::move(tenant_names), settings.classes,
+                     settings.classes.size()};
   for (std::size_t i = 0; i < before.in_force; ++i) {
     const auto now = std::find(out.class_names.begin(), out.class_names.end(), before.class_names[i]);
     const auto place = static_cast<std::size_t>(now - out.class_names.begin());
@@ -76,7 +77,7 @@
          !boost::beast::iequals(first->value(), "chunked") || request.version() < 11;
 }
 
-std::optional<Rejected> read_request(const HttpRequest& request, const Catalog& catalog, bool late,
+std::optional<Rejected> read_request(const HttpRequest& request, const RequestCatalog& catalog, bool late,
                                      Request& event) {
   const auto bad = read_as(request, catalog, 0, catalog.in_force, event);
   if (!bad || !late) return bad;
@@ -85,7 +86,7 @@
 
 namespace {
 
-std::optional<Rejected> read_as(const HttpRequest& request, const Catalog& catalog, std::size_t from,
+std::optional<Rejected> read_as(const HttpRequest& request, const RequestCatalog& catalog, std::size_t from,
                                 std::size_t to, Request& event) {
   const auto bad = [](const char* text) { return Rejected{http::status::bad_request, text}; };
   const std::span<const std::string> names = std::span(catalog.class_names).subspan(from, to - from);
--- a/node/downstream/request_validation.h
+++ b/node/downstream/request_validation.h
@@ -12,7 +12,7 @@
 namespace nettleyoke::node {
 
 // What a request may name, from the settings.
-struct Catalog {
+struct RequestCatalog {
   std::vector<std::string> class_names, tenant_names;
   std::vector<RequestClass> classes;
   // So many of the classes are in force. Those behind them were before: callers learn of a change late.
@@ -21,8 +21,8 @@
 
 // The classes of `settings`, and behind them those of `before` that were in force and have gone or changed,
 // which are added to the settings too: the module knows classes by their place.
-Catalog next_catalog(const Catalog& before, std::vector<std::string> class_names,
-                     std::vector<std::string> tenant_names, Settings& settings);
+RequestCatalog next_catalog(const RequestCatalog& before, std::vector<std::string> class_names,
+                            std::vector<std::string> tenant_names, Settings& settings);
 
 // Why a request is turned down.
 struct Rejected {
@@ -38,7 +38,7 @@
 
 // Fills in the event, or says what is wrong with the request. With `late`, one that would have been in order
 // by the classes before is so still.
-std::optional<Rejected> read_request(const HttpRequest& request, const Catalog& catalog, bool late,
+std::optional<Rejected> read_request(const HttpRequest& request, const RequestCatalog& catalog, bool late,
                                      Request& event);
 
 }  // namespace nettleyoke::node
--- a/node/http/body_pipe.h
+++ b/node/http/body_pipe.h
@@ -14,16 +14,16 @@
 
 namespace nettleyoke::node {
 
-class Pipe {
+class BodyPipe {
  public:
   using Wake = std::function<void()>;
-  static constexpr std::size_t kRoom = std::size_t{32} * 1024;
+  static constexpr std::size_t kCapacity = std::size_t{32} * 1024;
 
   // `length` of the whole body, where it is told.
-  Pipe(boost::asio::io_context& io, Budget& budget, std::optional<std::uint64_t> length)
+  BodyPipe(boost::asio::io_context& io, MemoryBudget& budget, std::optional<std::uint64_t> length)
       : length_(length), io_(io), share_(budget) {}
-  Pipe(const Pipe&) = delete;
-  Pipe& operator=(const Pipe&) = delete;
+  BodyPipe(const BodyPipe&) = delete;
+  BodyPipe& operator=(const BodyPipe&) = delete;
 
   std::optional<std::uint64_t> length() const { return length_; }
 
@@ -31,18 +31,18 @@
   void write(const char* bytes, std::size_t n) {
     if (is_over()) return;
     held_.append(bytes, n);
-    share_.keep(held_.capacity());
+    share_.resize(held_.capacity());
     wake(readable_);
   }
-  bool has_room() const { return held_.size() < kRoom; }
-  bool is_left() const { return left_; }
+  bool is_writable() const { return held_.size() < kCapacity; }
+  bool is_reader_closed() const { return left_; }
   // Calls once when there is room, or the reader has left.
-  void when_room(Wake then) {
+  void when_writable(Wake then) {
     room_ = std::move(then);
-    if (has_room() || left_) wake(room_);
+    if (is_writable() || left_) wake(room_);
   }
   // Calls when the reader leaves, whatever the writer waits for.
-  void when_left(Wake then) { on_left_ = std::move(then); }
+  void when_reader_closed(Wake then) { on_left_ = std::move(then); }
   // All is written.
   void finish() {
     if (is_over()) return;
@@ -51,7 +51,7 @@
     wake(readable_);
   }
   // There will be no more, though it is not all.
-  void break_off() {
+  void abort() {
     if (is_over()) return;
     broken_ = true;
     room_ = on_left_ = nullptr;
@@ -63,26 +63,26 @@
   std::string take() {
     touched_ |= !held_.empty();
     std::string out = std::exchange(held_, {});
-    share_.keep(0);
+    share_.resize(0);
     wake(room_);
     return out;
   }
-  bool touched() const { return touched_; }  // something is gone from it
-  bool is_whole() const { return whole_ && held_.empty(); }
-  bool is_broken() const { return broken_; }
+  bool has_been_read() const { return touched_; }  // something is gone from it
+  bool is_complete() const { return whole_ && held_.empty(); }
+  bool is_aborted() const { return broken_; }
   // Calls once when there is something, or nothing more to come.
   void when_readable(Wake then) {
     readable_ = std::move(then);
     if (!held_.empty() || whole_ || broken_) wake(readable_);
   }
   // Wants no more.
-  void leave() {
+  void close_reader() {
     readable_ = nullptr;
     if (is_over()) return;
     left_ = true;
     held_.clear();
     held_.shrink_to_fit();
-    share_.keep(0);
+    share_.resize(0);
     wake(room_);
     wake(on_left_);
   }
@@ -96,7 +96,7 @@
 
   std::optional<std::uint64_t> length_;
   boost::asio::io_context& io_;
-  Budget::Share share_;
+  MemoryBudget::Reservation share_;
   std::string held_;
   Wake room_, readable_, on_left_;
   bool whole_ = false, broken_ = false, left_ = false, touched_ = false;
--- a/node/http/message.h
+++ b/node/http/message.h
@@ -19,14 +19,14 @@
 constexpr std::uint64_t kBodyLimit = std::uint64_t{64} * 1024 * 1024;
 
 // A request on its way to a server. Where its body is larger than is held, the rest is still to come.
-struct Outgoing {
+struct OutgoingRequest {
   HttpRequest request;
-  std::shared_ptr<Pipe> rest;
+  std::shared_ptr<BodyPipe> rest;
   // Whether its client has closed its side, as far as this machine knows, though the loop may not have come
   // to it yet. Asked just before an attempt begins.
   std::function<bool()> is_abandoned = {};
   // Whether it can be sent, or sent again: nothing of it is gone.
-  bool is_complete() const { return !rest || !rest->touched(); }
+  bool is_complete() const { return !rest || !rest->has_been_read(); }
 };
 
 // Drops the fields that belong to one connection and not to the message.
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -38,14 +38,14 @@
 // How the descriptors are shared out. Danger: a request that was accepted and has no descriptor left for its
 // attempt can only be refused. With a successor beside it, the two stay within the limit together: callers
 // are dealt out between them, all else each has for itself.
-struct Shares {
-  Shares(std::size_t sockets, bool operators, bool successor) {
+struct DescriptorBudget {
+  DescriptorBudget(std::size_t sockets, bool operators, bool successor) {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY) {
       sockets = std::min<std::size_t>(sockets, limit.rlim_cur);
     }
     // The loop's own, discovery, the log, the listener and a spare.
-    const std::size_t own = 24 + (operators ? node::Ops::kMostCallers + 1 : 0);
+    const std::size_t own = 24 + (operators ? node::AdminServer::kMostCallers + 1 : 0);
     const std::size_t processes = successor ? 2 : 1;
     const std::size_t reserve = own * processes;
     const std::size_t free = sockets > 2 * reserve ? sockets - reserve : reserve;
@@ -97,26 +97,26 @@
   const char* path;
   const node::Clock& clock;
   node::Config& config;  // in force
-  node::Discovery& discovery;
-  node::Upstream& upstream;
+  node::DiscoveryClient& discovery;
+  node::UpstreamClient& upstream;
   node::Dispatcher& dispatcher;
-  node::Frontend& frontend;
+  node::DownstreamServer& frontend;
   node::Metrics& metrics;
 };
 
 // All is read and found to be in order before the first part switches; from there on nothing can fail.
 void reload(const Parts& parts) {
   node::Config next = node::read_next_config(parts.path, parts.clock, parts.config);
-  node::Catalog catalog =
+  node::RequestCatalog catalog =
       node::next_catalog(parts.frontend.catalog(), next.class_names, next.tenant_names, next.settings);
-  parts.metrics.show(next.class_names);
-  parts.upstream.set_times(next.dial_timeout, next.idle_close);
-  parts.frontend.replace(std::move(catalog), next.settings.max_retry_after / 2);
+  parts.metrics.add_classes(next.class_names);
+  parts.upstream.set_timeouts(next.connect_timeout, next.server_idle_timeout);
+  parts.frontend.replace_catalog(std::move(catalog), next.settings.max_retry_after / 2);
   // Before the module asks for a watch, or the old address is called once more.
   parts.discovery.set_directory(next.directory);
-  parts.discovery.set_answers_at_once(!next.settings.must_watch);
+  parts.discovery.set_responds_immediately(!next.settings.must_watch);
   parts.discovery.move_to(next.discovery);
-  parts.dispatcher.replace(next.settings, next.max_open);
+  parts.dispatcher.replace_settings(next.settings, next.max_open);
   parts.config = std::move(next);
 }
 
@@ -126,11 +126,11 @@
     if (bad) return;
     try {
       reload(parts);
-      parts.metrics.reloaded(true);
+      parts.metrics.reload_finished(true);
       std::clog << "reload: discovery at " << parts.config.discovery << ", "
                 << parts.config.class_names.size() << " classes\n";
     } catch (const std::exception& problem) {
-      parts.metrics.reloaded(false);
+      parts.metrics.reload_finished(false);
       std::clog << "reload: " << problem.what() << "; all stays as it was\n";
     }
     reload_on(hangups, parts);
@@ -141,18 +141,19 @@
 // from before: that may be old, and where one process takes over from another the old one still serves.
 constexpr double kListWait = 3;
 
-node::Ops::Calls operators_calls(const node::Clock& clock, node::Dispatcher& dispatcher,
-                                 node::Frontend& frontend, node::Metrics& metrics, node::Bans& bans) {
+node::AdminServer::Handlers operators_calls(const node::Clock& clock, node::Dispatcher& dispatcher,
+                                            node::DownstreamServer& frontend, node::Metrics& metrics,
+                                            node::DisabledServers& bans) {
   return {[&] {
             return dispatcher.can_serve() && !frontend.draining() &&
                    (dispatcher.has_list() || clock.now() >= kListWait);
           },
           [&] {
-            return metrics.text({dispatcher.listed(), dispatcher.avoided()});
+            return metrics.to_json({dispatcher.listed_servers(), dispatcher.unavailable_servers()});
           },
           [&](const std::string& id, bool enable) -> std::string {
-            if (!dispatcher.is_listed(id) && !bans.out().contains(id)) return "unknown server";
-            bans.set(id, !enable);
+            if (!dispatcher.is_listed(id) && !bans.servers().contains(id)) return "unknown server";
+            bans.set_disabled(id, !enable);
             return "";
           }};
 }
@@ -160,7 +161,7 @@
 int run(const char* path) {
   // Danger: a signal that comes before these stand would end the process. What comes between here and the
   // first wait is kept for it.
-  node::Budget budget;  // outlives what is left in the event loop at the end
+  node::MemoryBudget budget;  // outlives what is left in the event loop at the end
   asio::io_context io(1);
   asio::signal_set hangups(io, SIGHUP), signals(io, SIGTERM, SIGINT);
   const node::Clock clock;
@@ -178,37 +179,39 @@
     std::cerr << "nettleyoke: " << problem.what() << '\n';
     return kBadConfiguration;
   }
-  const Shares shares(config.sockets, config.ops.has_value(), listener.has_value());
+  const DescriptorBudget shares(config.sockets, config.ops.has_value(), listener.has_value());
   const nettleyoke::Settings& settings = config.settings;
-  budget.limit(config.memory / kMessagePart / (listener ? 2 : 1));
+  budget.set_limit(config.memory / kMessagePart / (listener ? 2 : 1));
   node::Metrics metrics;
-  metrics.show(config.class_names);
-  node::Upstream upstream(io, {config.dial_timeout, config.idle_close, shares.upstream}, budget, metrics);
+  metrics.add_classes(config.class_names);
+  node::UpstreamClient upstream(io, {config.connect_timeout, config.server_idle_timeout, shares.upstream},
+                                budget, metrics);
   node::Dispatcher* to = nullptr;
-  node::Discovery discovery(io, config.discovery, config.directory, clock, config.seed,
-                            {[&to](const node::Membership& update) { to->told(update); },
-                             [&to] { to->watch_works(); }, [&to] { to->watch_failed(); }});
-  discovery.set_answers_at_once(!settings.must_watch);
-  discovery.set_index(config.known.index);
+  node::DiscoveryClient discovery(io, config.discovery, config.directory, clock, config.seed,
+                                  {[&to](const node::EndpointList& update) { to->on_endpoint_list(update); },
+                                   [&to] { to->on_watch_alive(); }, [&to] { to->on_watch_failed(); }});
+  discovery.set_responds_immediately(!settings.must_watch);
+  discovery.set_list_version(config.known.version);
   try {
     node::Dispatcher dispatcher(io, clock, settings, config.seed, config.max_open, upstream,
                                 [&discovery] { discovery.watch(); });
     to = &dispatcher;
-    node::Frontend frontend(
+    node::DownstreamServer frontend(
         io, {shares.clients, shares.overflow, settings.max_retry_after / 2},
         {config.class_names, config.tenant_names, settings.classes, settings.classes.size()}, budget,
         dispatcher, metrics);
     const char* directory = std::getenv("TMPDIR");
-    node::Bans bans(io, directory != nullptr ? directory : "",
-                    [&dispatcher](const std::set<std::string>& out) { dispatcher.take_out(out); });
-    node::Ops ops(io, operators_calls(clock, dispatcher, frontend, metrics, bans));
+    node::DisabledServers bans(
+        io, directory != nullptr ? directory : "",
+        [&dispatcher](const std::set<std::string>& out) { dispatcher.set_disabled_servers(out); });
+    node::AdminServer ops(io, operators_calls(clock, dispatcher, frontend, metrics, bans));
     const Parts parts{path, clock, config, discovery, upstream, dispatcher, frontend, metrics};
     // Danger: bans that came after the first request would let it go to a server that is out.
     bans.load();
-    if (listener) bans.follow();
+    if (listener) bans.watch_file();
     dispatcher.start(config.known);
     int status = EXIT_SUCCESS;
-    const auto give_up = [&](const char* what, boost::system::error_code problem) {
+    const auto abort_start = [&](const char* what, boost::system::error_code problem) {
       std::cerr << "nettleyoke: " << what << ": " << problem.message() << '\n';
       status = kBadConfiguration;
       io.stop();
@@ -221,13 +224,15 @@
         std::clog << "operators: " << problem.message() << "; served without them\n";
         return;
       }
-      if (problem) return give_up("operators", problem);
+      if (problem) return abort_start("operators", problem);
       std::clog << "nettleyoke " << config.name << ": operators at " << ops.local() << '\n';
     };
     if (config.ops) listen_once_free(ops_again, clock, open_ops, ops_opened);
-    const auto open = [&] { listener ? frontend.adopt(*listener) : frontend.listen(config.listen); };
+    const auto open = [&] {
+      listener ? frontend.serve_on_inherited_listener(*listener) : frontend.listen(config.listen);
+    };
     const auto opened = [&](boost::system::error_code problem) {
-      if (problem) return give_up("listen", problem);
+      if (problem) return abort_start("listen", problem);
       frontend.start();
       std::clog << "nettleyoke " << config.name << ": listening on " << frontend.local() << '\n';
       reload_on(hangups, parts);
--- a/node/takeover/takeover.cpp
+++ b/node/takeover/takeover.cpp
@@ -64,12 +64,12 @@
   return fd;
 }
 
-Bans::Bans(boost::asio::io_context& io, std::string directory, Changed changed)
+DisabledServers::DisabledServers(boost::asio::io_context& io, std::string directory, Changed changed)
     : file_(directory.empty() ? "" : std::move(directory) + "/thymewood-disabled.json"),
       changed_(std::move(changed)),
       timer_(io) {}
 
-void Bans::load() {
+void DisabledServers::load() {
   if (file_.empty()) return;
   const Lock lock(file_ + ".lock");
   seen_ = stamp();
@@ -77,7 +77,7 @@
   if (read(out)) adopt(std::move(out));
 }
 
-void Bans::set(const std::string& server, bool out) {
+void DisabledServers::set_disabled(const std::string& server, bool out) {
   std::set<std::string> all = out_;
   const auto change = [&] {
     out ? static_cast<void>(all.insert(server)) : static_cast<void>(all.erase(server));
@@ -95,18 +95,18 @@
   seen_ = stamp();
 }
 
-void Bans::follow() {
+void DisabledServers::watch_file() {
   if (file_.empty()) return;
   timer_.expires_after(Clock::span(kLook));
   timer_.async_wait([this](boost::system::error_code cancelled) {
     if (cancelled) return;
     if (stamp() != seen_) load();
-    follow();
+    watch_file();
   });
 }
 
 // False where there is none, or none that can be used.
-bool Bans::read(std::set<std::string>& out) {
+bool DisabledServers::read(std::set<std::string>& out) {
   std::ifstream file(file_, std::ios::binary);
   if (!file) return false;
   const std::string text{std::istreambuf_iterator<char>(file), {}};
@@ -127,7 +127,7 @@
 }
 
 // By rename: the other process reads the old file or the new one, never a part.
-void Bans::write() const {
+void DisabledServers::write() const {
   rapidjson::StringBuffer text;
   rapidjson::Writer<rapidjson::StringBuffer> json(text);
   json.StartObject();
@@ -147,13 +147,13 @@
   }
 }
 
-void Bans::adopt(std::set<std::string> out) {
+void DisabledServers::adopt(std::set<std::string> out) {
   if (out == out_) return;
   out_ = std::move(out);
   changed_(out_);
 }
 
-std::string Bans::stamp() const {
+std::string DisabledServers::stamp() const {
   struct stat state {};
   if (::stat(file_.c_str(), &state) != 0) return {};
   return std::to_string(state.st_ino) + ":" + std::to_string(state.st_mtim.tv_sec) + "." +
--- a/node/takeover/takeover.h
+++ b/node/takeover/takeover.h
@@ -17,21 +17,21 @@
 
 // The servers that are out by hand, in a file that outlives a process. Without a directory they live in this
 // process alone.
-class Bans {
+class DisabledServers {
  public:
   using Changed = std::function<void(const std::set<std::string>&)>;
 
-  Bans(boost::asio::io_context& io, std::string directory, Changed changed);
-  Bans(const Bans&) = delete;
-  Bans& operator=(const Bans&) = delete;
+  DisabledServers(boost::asio::io_context& io, std::string directory, Changed changed);
+  DisabledServers(const DisabledServers&) = delete;
+  DisabledServers& operator=(const DisabledServers&) = delete;
 
-  const std::set<std::string>& out() const { return out_; }
+  const std::set<std::string>& servers() const { return out_; }
   // Reads what an earlier process left, if anything.
   void load();
   // Takes a server out, or puts it back, for every process of the node.
-  void set(const std::string& server, bool out);
+  void set_disabled(const std::string& server, bool out);
   // From now on hears of what another process changes.
-  void follow();
+  void watch_file();
 
  private:
   bool read(std::set<std::string>& out);
--- a/node/upstream/upstream_client.cpp
+++ b/node/upstream/upstream_client.cpp
@@ -58,7 +58,7 @@
 constexpr const char* kLastChunk = "0\r\n\r\n";
 
 // A piece of a body as it goes on the wire: in a chunk where the rest has no length.
-std::string framed(const std::string& piece, const std::shared_ptr<Pipe>& rest) {
+std::string framed(const std::string& piece, const std::shared_ptr<BodyPipe>& rest) {
   if (!rest || rest->length() || piece.empty()) return piece;
   std::ostringstream out;
   out << std::hex << piece.size() << "\r\n" << piece << "\r\n";
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-class Upstream::Connection {
+class UpstreamClient::Connection {
  public:
   Connection(asio::io_context& io, std::shared_ptr<Pool> of) : socket(io), timer(io), pool(std::move(of)) {}
   tcp::socket socket;
@@ -94,7 +94,7 @@
   bool idle = false, dialling = true;
 };
 
-struct Upstream::Pool {
+struct UpstreamClient::Pool {
   tcp::endpoint where;
   double started = 0;
   std::uint64_t process = 1;  // counts the starts that were told
@@ -106,16 +106,16 @@
   std::size_t rests = 0;  // waits for a connection to have rested
 };
 
-class Upstream::Attempt {
+class UpstreamClient::Attempt {
  public:
-  Attempt(asio::io_context& io, Budget& budget, Report to)
+  Attempt(asio::io_context& io, MemoryBudget& budget, AttemptCallbacks to)
       : timer(io), whole(io), report(std::move(to)), share(budget) {}
   asio::steady_timer timer;
   asio::steady_timer
       whole;  // since the first byte of the answer; then, and before, for a peer that is silent
-  Report report;
-  std::shared_ptr<const Outgoing> request;
-  std::shared_ptr<Pipe> rest;  // of the request's body; empty once all of it is in `wire`
+  AttemptCallbacks report;
+  std::shared_ptr<const OutgoingRequest> request;
+  std::shared_ptr<BodyPipe> rest;  // of the request's body; empty once all of it is in `wire`
   double timeout = 0;
   Clock::Steady::time_point begun = Clock::Steady::now();  // when it was sent, or is taken to be
   Clock::Steady::time_point until, first_byte;
@@ -129,38 +129,39 @@
   bool streamed = false;  // the request's body was still coming when it began
   bool sent = false;      // its last byte is written: from here on it may have run
   std::optional<http::response_parser<http::buffer_body>> parser;
-  std::vector<char> piece;         // of the body, as it is parsed
-  std::string body;                // of an answer that stays whole
-  std::shared_ptr<Pipe> body_out;  // of one that does not
+  std::vector<char> piece;             // of the body, as it is parsed
+  std::string body;                    // of an answer that stays whole
+  std::shared_ptr<BodyPipe> body_out;  // of one that does not
   std::shared_ptr<Connection> connection;
   std::shared_ptr<Pool> pool;
-  Budget::Share share;  // of the request as it is sent, then of the answer as it comes
+  MemoryBudget::Reservation share;  // of the request as it is sent, then of the answer as it comes
   int interim = 0;
   bool ending = false;  // nothing more of it goes out
   bool ended = false;
 
   bool is_abandoned() const { return request->is_abandoned && request->is_abandoned(); }
-  void begin(Upstream& owner, const std::shared_ptr<Attempt>& self, std::shared_ptr<Connection> on);
-  void write(Upstream& owner, const std::shared_ptr<Attempt>& self);
-  void read(Upstream& owner, const std::shared_ptr<Attempt>& self);
-  void read_more(Upstream& owner, const std::shared_ptr<Attempt>& self);
-  void begin_answer(Upstream& owner, const std::shared_ptr<Attempt>& self);
-  void end_by(Upstream& owner, const std::shared_ptr<Attempt>& self);
-  void expect(Upstream& owner, const std::shared_ptr<Attempt>& self, Outcome otherwise);
-  bool next_of_rest(Upstream& owner, const std::shared_ptr<Attempt>& self);
+  void begin(UpstreamClient& owner, const std::shared_ptr<Attempt>& self, std::shared_ptr<Connection> on);
+  void write(UpstreamClient& owner, const std::shared_ptr<Attempt>& self);
+  void read(UpstreamClient& owner, const std::shared_ptr<Attempt>& self);
+  void read_more(UpstreamClient& owner, const std::shared_ptr<Attempt>& self);
+  void begin_answer(UpstreamClient& owner, const std::shared_ptr<Attempt>& self);
+  void end_by(UpstreamClient& owner, const std::shared_ptr<Attempt>& self);
+  void expect(UpstreamClient& owner, const std::shared_ptr<Attempt>& self, Outcome otherwise);
+  bool next_of_rest(UpstreamClient& owner, const std::shared_ptr<Attempt>& self);
   bool is_large() const;
   bool moves() const;
-  void stream(Upstream& owner, const std::shared_ptr<Attempt>& self);
-  void came(Upstream& owner, const std::shared_ptr<Attempt>& self, error_code problem, std::size_t n);
+  void stream(UpstreamClient& owner, const std::shared_ptr<Attempt>& self);
+  void came(UpstreamClient& owner, const std::shared_ptr<Attempt>& self, error_code problem, std::size_t n);
   HttpResponse head() const;
   double elapsed() const;
-  void answered(Upstream& owner, const std::shared_ptr<Attempt>& self);
+  void answered(UpstreamClient& owner, const std::shared_ptr<Attempt>& self);
 };
 
-Upstream::Upstream(asio::io_context& io, const Limits& limits, Budget& budget, Metrics& metrics)
+UpstreamClient::UpstreamClient(asio::io_context& io, const Limits& limits, MemoryBudget& budget,
+                               Metrics& metrics)
     : io_(io), limits_(limits), budget_(budget), metrics_(metrics) {}
 
-Upstream::~Upstream() {
+UpstreamClient::~UpstreamClient() {
   *alive_ = false;
   for (auto& [name, pool] : pools_) {
     drop_idle(*pool);
@@ -168,7 +169,8 @@
   }
 }
 
-void Upstream::place(const std::string& server, const tcp::endpoint& where, double started, bool usable) {
+void UpstreamClient::update_server(const std::string& server, const tcp::endpoint& where, double started,
+                                   bool usable) {
   std::shared_ptr<Pool>& pool = pools_[server];
   if (!pool) pool = std::make_shared<Pool>();
   const bool same = pool->where == where && pool->started == started;
@@ -179,7 +181,7 @@
   if (!same || !usable) drop_idle(*pool);
 }
 
-void Upstream::retire(const std::string& server) {
+void UpstreamClient::remove_server(const std::string& server) {
   const auto at = pools_.find(server);
   if (at == pools_.end()) return;
   const std::shared_ptr<Pool> pool = at->second;
@@ -192,8 +194,9 @@
   for (const std::shared_ptr<Attempt>& attempt : waiting) end_later(attempt, Outcome::kConnectFailed);
 }
 
-Upstream::Handle Upstream::start(const std::string& server, const std::shared_ptr<const Outgoing>& request,
-                                 const Times& times, Report report) {
+UpstreamClient::AttemptHandle UpstreamClient::start_attempt(
+    const std::string& server, const std::shared_ptr<const OutgoingRequest>& request,
+    const AttemptTimes& times, AttemptCallbacks report) {
   const auto attempt = std::make_shared<Attempt>(io_, budget_, std::move(report));
   const auto at = pools_.find(server);
   if (at == pools_.end() || !(times.timeout > 0) || !request->is_complete()) {
@@ -230,7 +233,7 @@
 
 // Danger: a connection may come up, or have rested, before the end is told, and the attempt would still begin
 // on it: it leaves its place at once, and what is half out stays so.
-void Upstream::end_later(std::shared_ptr<Attempt> attempt, Outcome outcome) {
+void UpstreamClient::end_later(std::shared_ptr<Attempt> attempt, Outcome outcome) {
   attempt->ending = true;
   leave_queue(*attempt);
   asio::post(io_, [this, alive = alive_, attempt = std::move(attempt), outcome] {
@@ -238,36 +241,36 @@
   });
 }
 
-void Upstream::cancel(const Handle& handle) {
+void UpstreamClient::cancel(const AttemptHandle& handle) {
   const std::shared_ptr<Attempt> attempt = handle.lock();
   if (!attempt || attempt->ended) return;
   end_later(attempt, Outcome::kCancelled);
 }
 
-void Upstream::withdraw(const Handle& handle) {
+void UpstreamClient::withdraw_unsent(const AttemptHandle& handle) {
   const std::shared_ptr<Attempt> attempt = handle.lock();
   if (attempt && !attempt->sent) cancel(handle);
 }
 
 // The one that has waited the longest for a connection gets none.
-void Upstream::fail_first(Pool& pool) {
+void UpstreamClient::fail_first(Pool& pool) {
   const std::shared_ptr<Attempt> first = pool.waiting.front();
   finish(first, Outcome::kConnectFailed, false);
 }
 
-void Upstream::leave_queue(const Attempt& attempt) {
+void UpstreamClient::leave_queue(const Attempt& attempt) {
   if (!attempt.pool) return;
   std::erase_if(attempt.pool->waiting, [&](const auto& waits) { return waits.get() == &attempt; });
 }
 
 // ---------------------------------------------------------------- connections
 
-void Upstream::dial(const std::shared_ptr<Pool>& pool) {
+void UpstreamClient::dial(const std::shared_ptr<Pool>& pool) {
   const auto connection = std::make_shared<Connection>(io_, pool);
   connection->where = pool->where;
   pool->dialling += 1;
   connections_ += 1;
-  connection->timer.expires_after(Clock::span(limits_.dial_timeout));
+  connection->timer.expires_after(Clock::span(limits_.connect_timeout));
   connection->timer.async_wait([this, alive = alive_, connection](error_code cancelled) {
     if (!cancelled && *alive) dialled(connection->pool, connection, false);
   });
@@ -276,8 +279,8 @@
   });
 }
 
-void Upstream::dialled(const std::shared_ptr<Pool>& pool, const std::shared_ptr<Connection>& connection,
-                       bool up) {
+void UpstreamClient::dialled(const std::shared_ptr<Pool>& pool, const std::shared_ptr<Connection>& connection,
+                             bool up) {
   if (!std::exchange(connection->dialling, false)) return;  // timer and connect can both come
   halt(connection->timer);
   pool->dialling -= 1;
@@ -293,7 +296,7 @@
   if (pool->rests == 0 && pool->waiting.size() > pool->dialling) fail_first(*pool);
 }
 
-void Upstream::forget(Pool& pool, const Connection& connection) {
+void UpstreamClient::forget(Pool& pool, const Connection& connection) {
   connections_ -= 1;
   if (connection.idle) {
     pool.idle.erase(std::find_if(pool.idle.begin(), pool.idle.end(),
@@ -301,7 +304,7 @@
   }
 }
 
-std::shared_ptr<Upstream::Connection> Upstream::take_idle(Pool& pool) {
+std::shared_ptr<UpstreamClient::Connection> UpstreamClient::take_idle(Pool& pool) {
   const Clock::Steady::time_point now = Clock::Steady::now();
   std::size_t at = pool.idle.size();
   while (at-- > 0) {
@@ -323,7 +326,7 @@
 }
 
 // Closes a connection that carries nothing.
-void Upstream::drop(const std::shared_ptr<Connection>& connection) {
+void UpstreamClient::drop(const std::shared_ptr<Connection>& connection) {
   forget(*connection->pool, *connection);
   connection->idle = false;
   halt(connection->timer);
@@ -333,7 +336,7 @@
 
 // A connection that is free serves who waits for one, even while that one's own dial is under way; but one
 // that has just carried an answer rests before.
-void Upstream::release(const std::shared_ptr<Connection>& connection, bool fresh) {
+void UpstreamClient::release(const std::shared_ptr<Connection>& connection, bool fresh) {
   const std::shared_ptr<Pool> pool = connection->pool;
   // Danger: bytes that nobody asked for would be taken for the answer to the next request.
   if (connection->process != pool->process || !pool->usable || connection->buffer.size() > 0 ||
@@ -352,7 +355,7 @@
   const auto end = [this, alive = alive_, connection, turn](error_code cancelled) {
     if (!cancelled && *alive && connection->idle && connection->idle_turn == turn) drop(connection);
   };
-  connection->timer.expires_after(Clock::span(limits_.idle_close * kIdlePart));
+  connection->timer.expires_after(Clock::span(limits_.server_idle_timeout * kIdlePart));
   connection->timer.async_wait(end);
   connection->socket.async_wait(tcp::socket::wait_read, end);
   if (pool->waiting.empty()) return;
@@ -361,7 +364,7 @@
 }
 
 // Once what is idle has rested. It may turn out to be of no use, so that a dial is needed after all.
-void Upstream::serve_rested(const std::shared_ptr<Pool>& pool) {
+void UpstreamClient::serve_rested(const std::shared_ptr<Pool>& pool) {
   pool->rests += 1;
   const auto rest = std::make_shared<asio::steady_timer>(io_, Clock::span(kRest));
   rest->async_wait([this, alive = alive_, pool, rest](error_code) {
@@ -380,7 +383,7 @@
   });
 }
 
-void Upstream::serve_waiting(Pool& pool) {
+void UpstreamClient::serve_waiting(Pool& pool) {
   while (!pool.waiting.empty()) {
     const std::shared_ptr<Attempt> next = pool.waiting.front();
     if (next->is_abandoned()) {
@@ -394,7 +397,7 @@
   }
 }
 
-void Upstream::drop_idle(Pool& pool) {
+void UpstreamClient::drop_idle(Pool& pool) {
   for (const std::shared_ptr<Connection>& connection : pool.idle) {
     connection->idle = false;
     halt(connection->timer);
@@ -406,7 +409,7 @@
 }
 
 // Closes the connection that has been idle the longest, when there may be no more.
-bool Upstream::make_room() {
+bool UpstreamClient::make_room() {
   if (connections_ < limits_.max_connections) return true;
   Pool* oldest = nullptr;
   for (auto& [name, pool] : pools_) {
@@ -422,8 +425,8 @@
 
 // ---------------------------------------------------------------- attempts
 
-void Upstream::Attempt::begin(Upstream& owner, const std::shared_ptr<Attempt>& self,
-                              std::shared_ptr<Connection> on) {
+void UpstreamClient::Attempt::begin(UpstreamClient& owner, const std::shared_ptr<Attempt>& self,
+                                    std::shared_ptr<Connection> on) {
   connection = std::move(on);
   HttpRequest out;
   out.base() = request->request.base();
@@ -441,12 +444,12 @@
     wire += framed(start, rest);
   }
   request.reset();
-  if (!share.hold(wire.size())) return owner.end_later(self, Outcome::kNotSent);
+  if (!share.try_resize(wire.size())) return owner.end_later(self, Outcome::kNotSent);
   write(owner, self);
 }
 
 // How long it may take: from now on, and for a request whose body is still coming anew with its last byte.
-void Upstream::Attempt::end_by(Upstream& owner, const std::shared_ptr<Attempt>& self) {
+void UpstreamClient::Attempt::end_by(UpstreamClient& owner, const std::shared_ptr<Attempt>& self) {
   until = Clock::Steady::now() + Clock::span(timeout);
   if (rest) return;
   timer.expires_at(until);
@@ -457,7 +460,8 @@
 }
 
 // Ends it if the peer moves no byte for too long.
-void Upstream::Attempt::expect(Upstream& owner, const std::shared_ptr<Attempt>& self, Outcome otherwise) {
+void UpstreamClient::Attempt::expect(UpstreamClient& owner, const std::shared_ptr<Attempt>& self,
+                                     Outcome otherwise) {
   whole.expires_after(Clock::span(kSilence));
   whole.async_wait([&owner, alive = owner.alive_, self, otherwise](error_code cancelled) {
     if (cancelled || !*alive || self->ended || self->whole.expiry() > Clock::Steady::now()) return;
@@ -466,18 +470,18 @@
 }
 
 // Puts what has come of the rest of the body on the wire; false while there is nothing.
-bool Upstream::Attempt::next_of_rest(Upstream& owner, const std::shared_ptr<Attempt>& self) {
+bool UpstreamClient::Attempt::next_of_rest(UpstreamClient& owner, const std::shared_ptr<Attempt>& self) {
   const std::string more = rest->take();
   written = 0;
   wire = framed(more, rest);
-  share.keep(wire.capacity());
+  share.resize(wire.capacity());
   if (!more.empty()) return true;
-  if (rest->is_whole()) {
+  if (rest->is_complete()) {
     if (!rest->length()) wire = kLastChunk;
     rest.reset();
     return true;
   }
-  if (rest->is_broken()) {
+  if (rest->is_aborted()) {
     owner.end_later(self, Outcome::kCancelled);  // its caller has gone, and the last byte was not written
     return false;
   }
@@ -499,7 +503,7 @@
 // Guards against an answer to the last request that comes while this one is being written: up to its last
 // byte nothing that arrives can be meant for it, and a connection that is closed before that byte has run
 // nothing.
-void Upstream::Attempt::write(Upstream& owner, const std::shared_ptr<Attempt>& self) {
+void UpstreamClient::Attempt::write(UpstreamClient& owner, const std::shared_ptr<Attempt>& self) {
   if (ending) return;
   while (written < wire.size() || start_out || rest) {
     const std::string& now = start_out && head_out ? *start_out : wire;
@@ -534,18 +538,18 @@
     }
   }
   sent = true;
-  owner.metrics_.attempt_written();
+  owner.metrics_.attempt_sent();
   if (streamed) {
     halt(whole);
     begun = Clock::Steady::now();
     end_by(owner, self);
   }
   wire = {};
-  share.keep(0);
+  share.resize(0);
   read(owner, self);
 }
 
-void Upstream::Attempt::read(Upstream& owner, const std::shared_ptr<Attempt>& self) {
+void UpstreamClient::Attempt::read(UpstreamClient& owner, const std::shared_ptr<Attempt>& self) {
   parser.emplace();
   parser->header_limit(kHeaderLimit);
   parser->body_limit(kBodyLimit);
@@ -563,7 +567,7 @@
 
 // Danger: an attempt that ends lets go of its connection while the socket's operation is still to be called
 // off, and that one works on the connection's buffer: each operation holds on to it.
-void Upstream::Attempt::read_more(Upstream& owner, const std::shared_ptr<Attempt>& self) {
+void UpstreamClient::Attempt::read_more(UpstreamClient& owner, const std::shared_ptr<Attempt>& self) {
   piece.resize(kPiece);
   http::buffer_body::value_type& room = parser->get().body();
   room.data = piece.data();
@@ -579,10 +583,10 @@
 }
 
 // So many bytes of the body, or the head.
-void Upstream::Attempt::came(Upstream& owner, const std::shared_ptr<Attempt>& self, error_code problem,
-                             std::size_t n) {
+void UpstreamClient::Attempt::came(UpstreamClient& owner, const std::shared_ptr<Attempt>& self,
+                                   error_code problem, std::size_t n) {
   if (body_out) {
-    if (body_out->is_left()) return owner.finish(self, Outcome::kCancelled, false);
+    if (body_out->is_reader_closed()) return owner.finish(self, Outcome::kCancelled, false);
     body_out->write(piece.data(), n);
   } else {
     body.append(piece.data(), n);
@@ -599,50 +603,50 @@
     if (is_large()) {
       if (parser->get().result() != http::status::ok) return owner.finish(self, outcome_of(head()), false);
       stream(owner, self);
-    } else if (!share.hold(connection->buffer.capacity() + piece.capacity() + body.capacity())) {
+    } else if (!share.try_resize(connection->buffer.capacity() + piece.capacity() + body.capacity())) {
       return owner.finish(self, Outcome::kUnknown, false);
     }
   }
   if (!body_out) return read_more(owner, self);
   halt(whole);  // it is the client that is waited for now, if anyone
-  body_out->when_room([&owner, alive = owner.alive_, self] {
+  body_out->when_writable([&owner, alive = owner.alive_, self] {
     if (!*alive || self->ended) return;
-    if (self->body_out->is_left()) return owner.finish(self, Outcome::kCancelled, false);
+    if (self->body_out->is_reader_closed()) return owner.finish(self, Outcome::kCancelled, false);
     self->expect(owner, self, Outcome::kReset);
     self->read_more(owner, self);
   });
 }
 
 // Whether an answer is known to be larger than stays whole.
-bool Upstream::Attempt::is_large() const {
+bool UpstreamClient::Attempt::is_large() const {
   return parser->is_header_done() &&
          (body.size() > kWholeBody || parser->content_length().value_or(0) > kWholeBody);
 }
 
 // Whether one that tells no length has come fast enough so far to be a large one on its way.
-bool Upstream::Attempt::moves() const {
+bool UpstreamClient::Attempt::moves() const {
   return parser->is_header_done() && !parser->content_length() &&
          parser->get().result() == http::status::ok && static_cast<double>(body.size()) >= kSlowest * kWhole;
 }
 
 // From here on the answer is passed on as it comes.
-void Upstream::Attempt::stream(Upstream& owner, const std::shared_ptr<Attempt>& self) {
+void UpstreamClient::Attempt::stream(UpstreamClient& owner, const std::shared_ptr<Attempt>& self) {
   halt(timer);
   std::optional<std::uint64_t> length;
   if (const auto told = parser->content_length()) length = *told;
-  body_out = std::make_shared<Pipe>(owner.io_, owner.budget_, length);
-  body_out->when_left([&owner, alive = owner.alive_, weak = std::weak_ptr(self)] {
+  body_out = std::make_shared<BodyPipe>(owner.io_, owner.budget_, length);
+  body_out->when_reader_closed([&owner, alive = owner.alive_, weak = std::weak_ptr(self)] {
     const auto attempt = weak.lock();
     if (attempt && *alive && !attempt->ended) owner.finish(attempt, Outcome::kCancelled, false);
   });
   body_out->write(body.data(), body.size());
   body = {};
-  share.keep(piece.capacity());
+  share.resize(piece.capacity());
   report.begun(head(), body_out, elapsed());
 }
 
 // Given up, it may have run: the server had the request, or it would not have begun to answer.
-void Upstream::Attempt::begin_answer(Upstream& owner, const std::shared_ptr<Attempt>& self) {
+void UpstreamClient::Attempt::begin_answer(UpstreamClient& owner, const std::shared_ptr<Attempt>& self) {
   first_byte = Clock::Steady::now();
   whole.expires_after(Clock::span(kWhole));
   whole.async_wait([&owner, alive = owner.alive_, self](error_code cancelled) {
@@ -656,17 +660,17 @@
   read_more(owner, self);
 }
 
-HttpResponse Upstream::Attempt::head() const {
+HttpResponse UpstreamClient::Attempt::head() const {
   HttpResponse out;
   out.base() = parser->get().base();
   return out;
 }
 
-double Upstream::Attempt::elapsed() const {
+double UpstreamClient::Attempt::elapsed() const {
   return std::chrono::duration<double>((body_out ? first_byte : Clock::Steady::now()) - begun).count();
 }
 
-void Upstream::Attempt::answered(Upstream& owner, const std::shared_ptr<Attempt>& self) {
+void UpstreamClient::Attempt::answered(UpstreamClient& owner, const std::shared_ptr<Attempt>& self) {
   const http::response<http::buffer_body>& answer = parser->get();
   const unsigned status = answer.result_int();
   if (status >= 100 && status < 200) {
@@ -684,7 +688,7 @@
 }
 
 // The connection is free again before the outcome is told: what the module sends next may use it.
-void Upstream::finish(const std::shared_ptr<Attempt>& attempt, Outcome outcome, bool keep) {
+void UpstreamClient::finish(const std::shared_ptr<Attempt>& attempt, Outcome outcome, bool keep) {
   if (std::exchange(attempt->ended, true)) return;
   halt(attempt->timer);
   halt(attempt->whole);
@@ -698,15 +702,15 @@
   }
   HttpResponse answer;
   if (attempt->body_out) {
-    attempt->body_out->break_off();  // unless it is whole
+    attempt->body_out->abort();  // unless it is whole
   } else if (outcome == Outcome::kSucceeded) {
     answer = attempt->head();
     answer.body() = std::move(attempt->body);
   }
   // One that took nothing of it leaves it to the next.
-  if (attempt->rest && attempt->rest->touched()) attempt->rest->leave();
+  if (attempt->rest && attempt->rest->has_been_read()) attempt->rest->close_reader();
   const double elapsed = attempt->elapsed();
-  const Report report = std::move(attempt->report);
+  const AttemptCallbacks report = std::move(attempt->report);
   attempt->report = {};
   report.ended(outcome, std::move(answer), elapsed);
 }
--- a/node/upstream/upstream_client.h
+++ b/node/upstream/upstream_client.h
@@ -18,11 +18,11 @@
 
 namespace nettleyoke::node {
 
-class Upstream {
+class UpstreamClient {
  public:
   struct Limits {
-    double dial_timeout = 0;
-    double idle_close = 0;            // a server may close a connection that has stood idle this long
+    double connect_timeout = 0;
+    double server_idle_timeout = 0;   // a server may close a connection that has stood idle this long
     std::size_t max_connections = 0;  // over all servers
   };
   // What is told of an attempt. `begun`, perhaps: a large answer has begun, and its body comes as the pipe
@@ -30,45 +30,46 @@
   // not begun before. Both tell how long it took from when the request was sent, in s: up to its first bytes
   // where the answer had begun, else up to now. A request whose body was still coming is sent with its last
   // byte.
-  struct Report {
-    std::function<void(HttpResponse&& head, std::shared_ptr<Pipe> body, double elapsed)> begun;
+  struct AttemptCallbacks {
+    std::function<void(HttpResponse&& head, std::shared_ptr<BodyPipe> body, double elapsed)> begun;
     std::function<void(Outcome, HttpResponse&&, double elapsed)> ended;
   };
 
   // All in s, from now on. `timeout`: how long to wait for the answer. `deadline`: what its server is told
   // that it has, never less. `send_within`: where its last byte is not out by then, it is not sent.
-  struct Times {
+  struct AttemptTimes {
     double timeout = 0, deadline = 0;
     std::optional<double> send_within = {};
   };
 
   class Attempt;
-  using Handle = std::weak_ptr<Attempt>;
+  using AttemptHandle = std::weak_ptr<Attempt>;
 
-  Upstream(boost::asio::io_context& io, const Limits& limits, Budget& budget, Metrics& metrics);
-  ~Upstream();
-  Upstream(const Upstream&) = delete;
-  Upstream& operator=(const Upstream&) = delete;
+  UpstreamClient(boost::asio::io_context& io, const Limits& limits, MemoryBudget& budget, Metrics& metrics);
+  ~UpstreamClient();
+  UpstreamClient(const UpstreamClient&) = delete;
+  UpstreamClient& operator=(const UpstreamClient&) = delete;
 
   // How long to wait for a connection, and how long one may idle, from here on.
-  void set_times(double dial_timeout, double idle_close) {
-    limits_.dial_timeout = dial_timeout;
-    limits_.idle_close = idle_close;
+  void set_timeouts(double connect_timeout, double server_idle_timeout) {
+    limits_.connect_timeout = connect_timeout;
+    limits_.server_idle_timeout = server_idle_timeout;
   }
   // Where a server listens, and whether it may get new work. `started` tells one of its processes from the
   // next, whose connections are not the last one's.
-  void place(const std::string& server, const boost::asio::ip::tcp::endpoint& where, double started,
-             bool usable);
+  void update_server(const std::string& server, const boost::asio::ip::tcp::endpoint& where, double started,
+                     bool usable);
   // It has left the list: attempts that are out go on, nothing new is to come.
-  void retire(const std::string& server);
+  void remove_server(const std::string& server);
 
   // Sends a request, once, and reports exactly once, never from within this call.
-  Handle start(const std::string& server, const std::shared_ptr<const Outgoing>& request, const Times& times,
-               Report report);
+  AttemptHandle start_attempt(const std::string& server,
+                              const std::shared_ptr<const OutgoingRequest>& request,
+                              const AttemptTimes& times, AttemptCallbacks report);
   // Closes the attempt's connection; it is reported as kCancelled, unless its end is on its way already.
-  void cancel(const Handle& attempt);
+  void cancel(const AttemptHandle& attempt);
   // The same, but only where its last byte is not written yet: nobody waits for what it would bring about.
-  void withdraw(const Handle& attempt);
+  void withdraw_unsent(const AttemptHandle& attempt);
 
   std::size_t connections() const { return connections_; }
 
@@ -94,7 +95,7 @@
 
   boost::asio::io_context& io_;
   Limits limits_;
-  Budget& budget_;
+  MemoryBudget& budget_;
   Metrics& metrics_;
   std::map<std::string, std::shared_ptr<Pool>> pools_;
   std::size_t connections_ = 0;  // dialling ones too
--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -39,7 +39,7 @@
   Loop loop;
   std::filesystem::path folder;
   std::vector<std::unique_ptr<ServerStandIn>> servers;
-  Catalog catalog;
+  RequestCatalog catalog;
   std::vector<std::unique_ptr<Agent>> agents;
   std::vector<std::unique_ptr<PlayedNode>> nodes;  // the real one, the hollow one
   int calls = 0;
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -128,7 +128,7 @@
   ServerStandIn server{
       loop.io(), clock, audit, "s0", {1, 1, 0, 1, 0}, {2, 60}, {kind(Idempotency::kIdempotent)}, 1};
   Agent agent{loop.io(), clock, audit, number, true};
-  Catalog catalog;
+  RequestCatalog catalog;
 
   void SetUp() override {
     change("s0", "up");
--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -39,7 +39,7 @@
 
 // ---------------------------------------------------------------- the line
 
-TEST(Ops, ReadyIsSaidOnceDiscoveryHasToldAndThereIsAServer) {
+TEST(AdminServer, ReadyIsSaidOnceDiscoveryHasToldAndThereIsAServer) {
   FakeServer server(replies(200, "ok"));
   ConfigText config = with_operators();
   FakeDiscovery discovery;
@@ -51,13 +51,13 @@
 }
 
 // Guards against a new process that waits for ever where discovery is silent but a list is known.
-TEST(Ops, WhereDiscoveryIsSilentTheKnownListWillDo) {
+TEST(AdminServer, WhereDiscoveryIsSilentTheKnownListWillDo) {
   FakeServer server(replies(200, "ok"));
   const Deployment d({&server}, with_operators());
   EXPECT_TRUE(eventually([&] { return d.program->call("READY") == "YES\n"; }));
 }
 
-TEST(Ops, WhatIsNoCallIsToldSo) {
+TEST(AdminServer, WhatIsNoCallIsToldSo) {
   FakeServer server(replies(200, "ok"));
   const Deployment d({&server}, with_operators());
   for (const std::string& line :
@@ -71,7 +71,7 @@
   EXPECT_EQ(asked(d, "after").substr(9, 3), "503");
 }
 
-TEST(Ops, HalfACallIsToldSoAndSilenceIsClosedOn) {
+TEST(AdminServer, HalfACallIsToldSoAndSilenceIsClosedOn) {
   FakeServer server(replies(200, "ok"));
   const Deployment d({&server}, with_operators());
   const int port = d.program->operators_port();
@@ -87,7 +87,7 @@
 
 // Guards against operators who can't get through to a node whose descriptors are all in use, here by callers,
 // there by others on the line that say nothing.
-TEST(Ops, CallsGetThroughWhateverElseIsOpen) {
+TEST(AdminServer, CallsGetThroughWhateverElseIsOpen) {
   FakeServer server(replies(200, "ok"));
   ConfigText config = with_operators();
   config.sockets = 128;
@@ -101,7 +101,7 @@
   }
 }
 
-TEST(Ops, TheEnvironmentsAddressComesFirst) {
+TEST(AdminServer, TheEnvironmentsAddressComesFirst) {
   FakeServer server(replies(200, "ok"));
   ConfigText config;
   config.ops = "127.0.0.1:1";  // can't be listened on without rights; the process would not start
@@ -110,7 +110,7 @@
   EXPECT_EQ(program.call("ENABLE s0"), "YES\n");
 }
 
-TEST(Ops, AnAddressThatIsNoneEndsTheStart) {
+TEST(AdminServer, AnAddressThatIsNoneEndsTheStart) {
   ConfigText config;
   config.ops = "nowhere";
   Program program(config.text(), 0, false);
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -431,12 +431,12 @@
 
 // Guards against a pause that outlasts the grace of a drain: what the agent has counts as told all the while.
 TEST(Watch, TheFirstNewOneComesAtOnceAndNoneLaterThanADrainAllows) {
-  EXPECT_LE(pause_before_watch(0, 1), 0.2);
-  EXPECT_NEAR(pause_before_watch(1, 0.5), 2 * pause_before_watch(0, 0.5), 1e-9) << "later than the first";
+  EXPECT_LE(rewatch_backoff(0, 1), 0.2);
+  EXPECT_NEAR(rewatch_backoff(1, 0.5), 2 * rewatch_backoff(0, 0.5), 1e-9) << "later than the first";
   for (const int failures : {0, 1, 2, 4, 10, 1000}) {
-    EXPECT_NEAR(pause_before_watch(failures, 1), 3 * pause_before_watch(failures, 0), 1e-9) << "a jitter";
-    EXPECT_GE(pause_before_watch(failures, 0), 0.05) << "no flood";
-    EXPECT_LE(pause_before_watch(failures, 1), 0.301);
+    EXPECT_NEAR(rewatch_backoff(failures, 1), 3 * rewatch_backoff(failures, 0), 1e-9) << "a jitter";
+    EXPECT_GE(rewatch_backoff(failures, 0), 0.05) << "no flood";
+    EXPECT_LE(rewatch_backoff(failures, 1), 0.301);
   }
 }
 
--- a/tests/unit/simulator_adapter_test.cpp
+++ b/tests/unit/simulator_adapter_test.cpp
@@ -171,9 +171,9 @@
     EXPECT_TRUE(has(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
     EXPECT_TRUE(has(r.lines[0], part)) << r.lines[0];
   };
-  panics(R"("peersTotal":1)", R"("peersTotal":0)", "copy_count");
-  panics(R"("position":0)", R"("position":1)", "copy_index");
-  panics(R"("aim":1.0)", R"("aim":-1.0)", "aim");
+  panics(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
+  panics(R"("position":0)", R"("position":1)", "replica_index");
+  panics(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
   panics(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
 }
 
