--- a/lab/checks/invariant_checker.cpp
+++ b/lab/checks/invariant_checker.cpp
@@ -7,156 +7,173 @@
 namespace nettleyoke::lab {
 namespace {
 
-constexpr double kSocketSlack = 0.05;  // s; on sockets each time limit of the rules grows by this
-constexpr double kLeave = 0.1;         // s; no attempt begins later than this after its client has gone
-constexpr std::size_t kMostSentAfterLeft = 2, kClosedOneIn = 200;  // what is forgiven in a whole play
-constexpr std::size_t kMostTexts = 20;
+constexpr double kSocketSlackSeconds = 0.05;        // on sockets each time limit of the rules grows by this
+constexpr double kDisconnectReactionSeconds = 0.1;  // no attempt begins later after its client disconnected
+constexpr std::size_t kMaxAttemptsAfterDisconnect = 2;  // tolerated in a run
+constexpr std::size_t kCallsPerClosedConnection = 200;  // one closed connection in so many calls is tolerated
+constexpr std::size_t kMaxViolationTexts = 20;
+
+// The names of the rules, as results have them.
+constexpr const char* kAnswerRule = "answer";
+constexpr const char* kLostRule = "lost";
+constexpr const char* kUnknownRule = "unknown";
+constexpr const char* kHedgingRule = "copy";
+constexpr const char* kDuplicateRule = "duplicate";
+constexpr const char* kAfterAnswerRule = "after";
+constexpr const char* kAfterDisconnectRule = "left";
+constexpr const char* kDrainRule = "drain";
 
 std::string milliseconds(double seconds) { return std::to_string(std::lround(seconds * 1000)) + " ms"; }
 
 }  // namespace
 
-std::size_t Audit::add_node(const std::string& name) {
+std::size_t InvariantChecker::add_node(const std::string& name) {
   nodes_.push_back(name);
-  barred_.emplace_back();
+  draining_since_.emplace_back();
   return nodes_.size() - 1;
 }
 
-std::size_t Audit::add_server(const std::string& name) {
+std::size_t InvariantChecker::add_server(const std::string& name) {
   servers_.push_back(name);
   return servers_.size() - 1;
 }
 
-void Audit::broken(const std::string& rule, const std::string& what) {
-  breaks_[rule] += 1;
-  if (first_breaks_.size() < kMostTexts) first_breaks_.push_back(rule + ": " + what);
+void InvariantChecker::add_violation(const std::string& rule, const std::string& text) {
+  violations_[rule] += 1;
+  if (first_violations_.size() < kMaxViolationTexts) first_violations_.push_back(rule + ": " + text);
 }
 
-void Audit::call_sent(const std::string& id, std::size_t node, std::size_t request_class, double time,
-                      double now) {
+void InvariantChecker::call_sent(const std::string& id, std::size_t node, std::size_t request_class,
+                                 double timeout, double now) {
   Call& call = calls_[id];
   call.node = node;
   call.request_class = request_class;
-  call.sent = now;
-  call.time = time;
-  ++open_;
+  call.sent_at = now;
+  call.timeout = timeout;
+  ++pending_calls_;
 }
 
-void Audit::call_ended(const std::string& id, Ending ending, double now) {
-  const auto at = calls_.find(id);
-  if (at == calls_.end()) return;
-  Call& call = at->second;
-  if (call.ending != Ending::kOpen) return broken("answer", id + " was answered twice");
-  call.ending = ending;
-  call.ended = now;
-  --open_;
-  if (ending == Ending::kClosed) ++closed_;
-  if (ending == Ending::kLost) {
-    broken("lost", id + " at " + nodes_[call.node] + ", given " + milliseconds(call.time) +
-                       ", had no final answer after " + milliseconds(now - call.sent));
+void InvariantChecker::call_ended(const std::string& id, CallOutcome outcome, double now) {
+  const auto found = calls_.find(id);
+  if (found == calls_.end()) return;
+  Call& call = found->second;
+  if (call.outcome != CallOutcome::kPending) return add_violation(kAnswerRule, id + " was answered twice");
+  call.outcome = outcome;
+  call.ended_at = now;
+  --pending_calls_;
+  if (outcome == CallOutcome::kConnectionClosed) ++closed_connections_;
+  if (outcome == CallOutcome::kUnanswered) {
+    add_violation(kLostRule, id + " at " + nodes_[call.node] + ", given " + milliseconds(call.timeout) +
+                                 ", had no final answer after " + milliseconds(now - call.sent_at));
   }
 }
 
-bool Audit::attempt_arrived(const std::string& id, std::size_t server, double now,
-                            std::function<bool()> is_open, AttemptNumber& number) {
-  const auto at = calls_.find(id);
-  if (at == calls_.end()) {
-    broken("unknown", "'" + id + "' came to " + servers_[server] + ", and no caller sent it");
-    return false;
+std::optional<InvariantChecker::AttemptIndex> InvariantChecker::attempt_arrived(
+    const std::string& id, std::size_t server, double now, std::function<bool()> is_connected) {
+  const auto found = calls_.find(id);
+  if (found == calls_.end()) {
+    add_violation(kUnknownRule, "'" + id + "' came to " + servers_[server] + ", and no caller sent it");
+    return std::nullopt;
   }
-  Call& call = at->second;
-  look_for_second_copy(id, call, now);
-  look_for_repeat(id, call, now);
-  look_for_end(id, call, now);
-  look_for_drain(id, call, server, now);
-  number = call.attempts.size();
-  call.attempts.push_back({server, now, 0, AttemptEnd::kOut, std::move(is_open)});
-  return true;
+  Call& call = found->second;
+  check_hedging(id, call, now);
+  check_idempotency(id, call, now);
+  check_after_outcome(id, call, now);
+  check_draining(id, call, server, now);
+  call.attempts.push_back({server, now, 0, AttemptOutcome::kInFlight, std::move(is_connected)});
+  return call.attempts.size() - 1;
 }
 
-// An earlier attempt whose connection the node has closed is out no more, whether or not its server has
+// An earlier attempt whose connection the node has closed is in flight no more, whether or not its server has
 // noticed yet.
-void Audit::look_for_second_copy(const std::string& id, Call& call, double now) {
-  for (std::size_t i = 0; i < call.attempts.size(); ++i) {
-    if (call.attempts[i].how != AttemptEnd::kOut) continue;
-    if (call.attempts[i].is_open()) {
-      if (!rules_.allow_hedging) {
-        broken("copy", id + " at " + nodes_[call.node] + " has two attempts out, at " +
-                           servers_[call.attempts[i].server] + " and another");
-      }
-    } else {
-      attempt_ended(id, i, AttemptEnd::kGivenUp, now);
+void InvariantChecker::check_hedging(const std::string& id, Call& call, double now) {
+  for (AttemptIndex index = 0; index < call.attempts.size(); ++index) {
+    const Attempt& earlier = call.attempts[index];
+    if (earlier.outcome != AttemptOutcome::kInFlight) continue;
+    if (!earlier.is_connected()) {
+      attempt_ended(id, index, AttemptOutcome::kAbandoned, now);
+    } else if (!rules_.allow_hedging) {
+      add_violation(kHedgingRule, id + " at " + nodes_[call.node] + " has two attempts out, at " +
+                                      servers_[earlier.server] + " and another");
     }
   }
 }
 
-void Audit::look_for_repeat(const std::string& id, const Call& call, double now) {
-  const ClassPlan& plan = rules_.classes[call.request_class];
-  if (plan.idempotency == Idempotency::kIdempotent) return;
-  for (const Attempt& earlier : call.attempts) {
-    if (earlier.how == AttemptEnd::kTurnedAway) continue;  // it surely never ran
-    if (plan.idempotency == Idempotency::kNonIdempotent)
-      return broken("duplicate", id + ", unsafe, may have run and came again");
-    if (now > earlier.arrived + plan.dedup_window + kSocketSlack + own_lateness_) {
-      broken("duplicate",
-             id + " came again " + milliseconds(now - earlier.arrived) + " after it may have run");
-    }
-    return;  // the window runs from the first that may have run
+void InvariantChecker::check_idempotency(const std::string& id, const Call& call, double now) {
+  const ClassSpec& spec = rules_.classes[call.request_class];
+  if (spec.idempotency == Idempotency::kIdempotent) return;
+  const auto may_have_run = [](const Attempt& attempt) {
+    return attempt.outcome != AttemptOutcome::kRejected;
+  };
+  // The deduplication window runs from the first attempt that may have run.
+  const auto first = std::find_if(call.attempts.begin(), call.attempts.end(), may_have_run);
+  if (first == call.attempts.end()) return;
+  if (spec.idempotency == Idempotency::kNonIdempotent) {
+    return add_violation(kDuplicateRule, id + ", unsafe, may have run and came again");
+  }
+  if (now > first->arrived_at + spec.dedup_window + kSocketSlackSeconds + event_loop_delay_) {
+    add_violation(kDuplicateRule,
+                  id + " came again " + milliseconds(now - first->arrived_at) + " after it may have run");
   }
 }
 
-void Audit::look_for_end(const std::string& id, const Call& call, double now) {
-  if (call.ending == Ending::kOpen) return;
-  const double late = now - call.ended - kSocketSlack - own_lateness_;
-  if (call.ending != Ending::kLeft) {
-    if (late > 0) broken("after", id + " came to a server after its final answer");
-  } else if (late > kLeave && ++sent_after_left_ > kMostSentAfterLeft) {
-    broken("left", id + " came to a server " + milliseconds(now - call.ended) + " after its client had gone");
+void InvariantChecker::check_after_outcome(const std::string& id, const Call& call, double now) {
+  if (call.outcome == CallOutcome::kPending) return;
+  const double late = now - call.ended_at - kSocketSlackSeconds - event_loop_delay_;
+  if (call.outcome != CallOutcome::kClientDisconnected) {
+    if (late > 0) add_violation(kAfterAnswerRule, id + " came to a server after its final answer");
+  } else if (late > kDisconnectReactionSeconds &&
+             ++attempts_after_disconnect_ > kMaxAttemptsAfterDisconnect) {
+    add_violation(kAfterDisconnectRule, id + " came to a server " + milliseconds(now - call.ended_at) +
+                                            " after its client had gone");
   }
 }
 
-void Audit::look_for_drain(const std::string& id, const Call& call, std::size_t server, double now) {
-  const auto& barred = barred_[call.node];
-  const auto since = barred.find(servers_[server]);
-  if (since == barred.end() || now < since->second) return;
+void InvariantChecker::check_draining(const std::string& id, const Call& call, std::size_t server,
+                                      double now) {
+  const std::map<std::string, double>& draining = draining_since_[call.node];
+  const auto since = draining.find(servers_[server]);
+  if (since == draining.end() || now < since->second) return;
   const double after = now - since->second;
-  double& latest = latest_after_told_[server];
+  double& latest = latest_attempt_after_notification_[server];
   latest = std::max(latest, after);
-  if (after > rules_.drain_grace + kSocketSlack + own_lateness_) {
-    broken("drain", nodes_[call.node] + " sent " + id + " to " + servers_[server] + " " +
-                        milliseconds(after) + " after it was told to send nothing new");
+  if (after > rules_.drain_grace + kSocketSlackSeconds + event_loop_delay_) {
+    add_violation(kDrainRule, nodes_[call.node] + " sent " + id + " to " + servers_[server] + " " +
+                                  milliseconds(after) + " after it was told to send nothing new");
   }
 }
 
-void Audit::attempt_ended(const std::string& id, AttemptNumber number, AttemptEnd how, double now) {
-  const auto at = calls_.find(id);
-  if (at == calls_.end() || number >= at->second.attempts.size()) return;
-  Attempt& attempt = at->second.attempts[number];
-  if (attempt.how != AttemptEnd::kOut) return;
-  attempt.how = how;
-  attempt.ended = now;
-  attempt.is_open = nullptr;
+void InvariantChecker::attempt_ended(const std::string& id, AttemptIndex index, AttemptOutcome outcome,
+                                     double now) {
+  const auto found = calls_.find(id);
+  if (found == calls_.end() || index >= found->second.attempts.size()) return;
+  Attempt& attempt = found->second.attempts[index];
+  if (attempt.outcome != AttemptOutcome::kInFlight) return;
+  attempt.outcome = outcome;
+  attempt.ended_at = now;
+  attempt.is_connected = nullptr;
 }
 
-void Audit::told(std::size_t node, const std::string& server, bool usable, double at) {
-  if (usable) {
-    barred_[node].erase(server);
+void InvariantChecker::server_notified(std::size_t node, const std::string& server, bool is_usable,
+                                       double at) {
+  if (is_usable) {
+    draining_since_[node].erase(server);
   } else {
-    barred_[node].try_emplace(server, at);
+    draining_since_[node].try_emplace(server, at);
   }
 }
 
-void Audit::close(double now) {
+void InvariantChecker::close(double now) {
   for (auto& [id, call] : calls_) {
-    if (call.ending == Ending::kOpen) call_ended(id, Ending::kLost, now);
+    if (call.outcome == CallOutcome::kPending) call_ended(id, CallOutcome::kUnanswered, now);
     for (Attempt& attempt : call.attempts) {
-      attempt.is_open = nullptr;  // what it asks may go before this does
-      if (attempt.how == AttemptEnd::kOut) attempt.ended = now;
+      attempt.is_connected = nullptr;  // what it refers to may be destroyed before the checker
+      if (attempt.outcome == AttemptOutcome::kInFlight) attempt.ended_at = now;
     }
   }
-  if (closed_ * kClosedOneIn > calls_.size()) {
-    broken("lost", std::to_string(closed_) + " of " + std::to_string(calls_.size()) +
-                       " calls had their connection closed with no whole answer");
+  if (closed_connections_ * kCallsPerClosedConnection > calls_.size()) {
+    add_violation(kLostRule, std::to_string(closed_connections_) + " of " + std::to_string(calls_.size()) +
+                                 " calls had their connection closed with no whole answer");
   }
 }
 
--- a/lab/checks/invariant_checker.h
+++ b/lab/checks/invariant_checker.h
@@ -1,9 +1,12 @@
-// What happened to every call, as callers, servers and discovery saw it, and the rules that nodes must keep.
+/// @file
+/// What happened to every call, as clients, servers and discovery saw it, and the rules that nodes must keep.
+/// The checker is told of events and compares them; it opens no socket and starts no timer.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <map>
+#include <optional>
 #include <string>
 #include <unordered_map>
 #include <vector>
@@ -12,101 +15,112 @@
 
 namespace nettleyoke::lab {
 
-// How a call ended, as its caller saw it.
-enum class Ending {
-  kOpen,
+/// How a call ended, as its client saw it.
+enum class CallOutcome {
+  kPending,
   kServed,
-  kRefused,
+  kRejected,
   kFailed,
-  kClosed,  // the node closed its connection with no whole answer
-  kLeft,    // the caller closed first
-  kLost     // no final answer in its time
+  kConnectionClosed,    ///< the node closed its connection without a complete response
+  kClientDisconnected,  ///< the client closed first
+  kUnanswered           ///< no final response in its time
 };
 
-// How an attempt ended, as its server saw it.
-enum class AttemptEnd {
-  kOut,
+/// How an attempt ended, as its server saw it.
+enum class AttemptOutcome {
+  kInFlight,
   kServed,
-  kError,
-  kTurnedAway,
-  kGivenUp,  // the node closed its connection
-  kCut       // the server reset it
+  kServerError,
+  kRejected,   ///< not processed
+  kAbandoned,  ///< the node closed its connection
+  kReset       ///< the server reset the connection
 };
 
-class Audit {
+/// Records calls and attempts and counts violations of the rules. Times are seconds on the lab's clock.
+class InvariantChecker {
  public:
   struct Rules {
-    double answer_slack = 0, drain_grace = 0;
+    double answer_slack = 0;  ///< s past its timeout in which a call's response still counts
+    double drain_grace = 0;   ///< s after a notification in which a drained server may get new attempts
     bool allow_hedging = false;
-    std::vector<ClassPlan> classes;
+    std::vector<ClassSpec> classes;
   };
   struct Attempt {
     std::size_t server = 0;
-    double arrived = 0, ended = 0;
-    AttemptEnd how = AttemptEnd::kOut;
-    std::function<bool()> is_open;  // whether its node could still get an answer; empty once it has ended
+    double arrived_at = 0, ended_at = 0;
+    AttemptOutcome outcome = AttemptOutcome::kInFlight;
+    std::function<bool()> is_connected;  ///< whether its node could still get a response; empty once it ended
   };
   struct Call {
     std::size_t node = 0, request_class = 0;
-    double sent = 0, time = 0, ended = 0;
-    Ending ending = Ending::kOpen;
+    double sent_at = 0, timeout = 0, ended_at = 0;
+    CallOutcome outcome = CallOutcome::kPending;
     std::vector<Attempt> attempts;
   };
-  using AttemptNumber = std::size_t;
+  /// The position of an attempt among those of its call.
+  using AttemptIndex = std::size_t;
 
-  explicit Audit(Rules rules) : rules_(std::move(rules)) {}
+  explicit InvariantChecker(Rules rules) : rules_(std::move(rules)) {}
 
-  // Nodes and servers have the numbers in which they were added.
+  /// Nodes and servers have the numbers in which they were added.
   std::size_t add_node(const std::string& name);
   std::size_t add_server(const std::string& name);
   const std::vector<std::string>& nodes() const { return nodes_; }
   const std::vector<std::string>& servers() const { return servers_; }
 
-  // How late the lab itself was lately, in s: no node answers for that.
-  void set_own_lateness(double seconds) { own_lateness_ = seconds; }
+  /// Sets how late the lab's event loop was lately, in s: limits grow by this, for no node answers for it.
+  void set_event_loop_delay(double seconds) { event_loop_delay_ = seconds; }
 
-  // From callers. `time`: how long the client gives.
-  void call_sent(const std::string& id, std::size_t node, std::size_t request_class, double time, double now);
-  void call_ended(const std::string& id, Ending ending, double now);
-  // Until when its final answer is one.
-  double latest_answer(double sent, double time) const { return sent + time + rules_.answer_slack; }
+  /// A client sent a call that it waits `timeout` s for.
+  void call_sent(const std::string& id, std::size_t node, std::size_t request_class, double timeout,
+                 double now);
+  void call_ended(const std::string& id, CallOutcome outcome, double now);
+  /// The time until which a response to a call counts.
+  double answer_deadline(double sent_at, double timeout) const {
+    return sent_at + timeout + rules_.answer_slack;
+  }
 
-  // From servers, once the last byte of an attempt has come. False: no caller sent such a call.
-  bool attempt_arrived(const std::string& id, std::size_t server, double now, std::function<bool()> is_open,
-                       AttemptNumber& number);
-  void attempt_ended(const std::string& id, AttemptNumber number, AttemptEnd how, double now);
+  /// A server got the last byte of an attempt.
+  /// @param is_connected says whether the node's connection is still open
+  /// @return nothing when no client sent such a call, which is a violation
+  std::optional<AttemptIndex> attempt_arrived(const std::string& id, std::size_t server, double now,
+                                              std::function<bool()> is_connected);
+  void attempt_ended(const std::string& id, AttemptIndex index, AttemptOutcome outcome, double now);
 
-  // From discovery: from `at` on a node counts as told that a server may get new work, or must not.
-  void told(std::size_t node, const std::string& server, bool usable, double at);
+  /// From `at` on a node counts as notified that a server may get new attempts, or must not.
+  void server_notified(std::size_t node, const std::string& server, bool is_usable, double at);
 
-  // Anything else that must not be.
-  void broken(const std::string& rule, const std::string& what);
+  /// Records a violation that was seen elsewhere.
+  void add_violation(const std::string& rule, const std::string& text);
 
-  // No more calls come and none is open any more: one that still is has had no final answer.
+  /// Ends the record: a call that is still pending has had no final response.
   void close(double now);
 
   const std::unordered_map<std::string, Call>& calls() const { return calls_; }
-  std::size_t open_calls() const { return open_; }
-  const std::map<std::string, std::size_t>& breaks() const { return breaks_; }  // how often each rule broke
-  const std::vector<std::string>& first_breaks() const { return first_breaks_; }
-  // The longest that a server got something new after a node counted as told that it must not, in s.
-  const std::map<std::size_t, double>& latest_after_told() const { return latest_after_told_; }
+  std::size_t pending_calls() const { return pending_calls_; }
+  /// How often each rule was violated.
+  const std::map<std::string, std::size_t>& violations() const { return violations_; }
+  const std::vector<std::string>& first_violations() const { return first_violations_; }
+  /// By server: the longest after a node was notified of its draining that it got a new attempt, in s.
+  const std::map<std::size_t, double>& latest_attempt_after_notification() const {
+    return latest_attempt_after_notification_;
+  }
 
  private:
-  void look_for_second_copy(const std::string& id, Call& call, double now);
-  void look_for_repeat(const std::string& id, const Call& call, double now);
-  void look_for_end(const std::string& id, const Call& call, double now);
-  void look_for_drain(const std::string& id, const Call& call, std::size_t server, double now);
+  void check_hedging(const std::string& id, Call& call, double now);
+  void check_idempotency(const std::string& id, const Call& call, double now);
+  void check_after_outcome(const std::string& id, const Call& call, double now);
+  void check_draining(const std::string& id, const Call& call, std::size_t server, double now);
 
   Rules rules_;
   std::vector<std::string> nodes_, servers_;
-  std::vector<std::map<std::string, double>> barred_;  // by node: servers that get nothing new from then on
+  std::vector<std::map<std::string, double>> draining_since_;  // by node: servers that get nothing new since
   std::unordered_map<std::string, Call> calls_;
-  std::size_t open_ = 0, closed_ = 0, sent_after_left_ = 0;
-  double own_lateness_ = 0;
-  std::map<std::size_t, double> latest_after_told_;
-  std::map<std::string, std::size_t> breaks_;
-  std::vector<std::string> first_breaks_;
+  std::size_t pending_calls_ = 0, closed_connections_ = 0, attempts_after_disconnect_ = 0;
+  double event_loop_delay_ = 0;
+  std::map<std::size_t, double> latest_attempt_after_notification_;
+  std::map<std::string, std::size_t> violations_;
+  std::vector<std::string> first_violations_;
 };
 
 }  // namespace nettleyoke::lab
--- a/lab/load/http_client.cpp
+++ b/lab/load/http_client.cpp
@@ -1,16 +1,17 @@
 #include "load/http_client.h"
 
 #include <algorithm>
-#include <boost/asio/post.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
+#include <chrono>
 #include <cmath>
 #include <optional>
 #include <utility>
 
 #include "clock.h"
+#include "net/loopback.h"
 
 namespace nettleyoke::lab {
 namespace {
@@ -20,163 +21,167 @@
 using boost::system::error_code;
 using node::Clock;
 using node::halt;
-using tcp = asio::ip::tcp;
+using Tcp = asio::ip::tcp;
 
-std::string bytes_of(const Client::Message& message) {
+std::string text_of(const HttpClient::Request& request) {
   const std::string target =
-      message.target.empty() ? "/" + message.request_class + "/" + message.id : message.target;
-  std::string out = (message.is_post ? "POST " : "GET ") + target + " HTTP/1.1\r\nHost: origin.svc\r\n";
-  const auto field = [&out](const char* name, const std::string& value) {
-    if (!value.empty()) out += std::string(name) + ": " + value + "\r\n";
+      request.target.empty() ? "/" + request.request_class + "/" + request.id : request.target;
+  std::string text = (request.is_post ? "POST " : "GET ") + target + " HTTP/1.1\r\nHost: origin.svc\r\n";
+  const auto add_field = [&text](const char* name, const std::string& value) {
+    if (!value.empty()) text += std::string(name) + ": " + value + "\r\n";
   };
-  field("X-Request-ID", message.id);
-  field("X-Priority-Class", message.request_class);
-  field("X-Tenant-Id", message.tenant);
-  if (message.time > 0) field("X-Timeout-Ms", std::to_string(std::lround(message.time * 1000)));
-  field("Idempotency-Key", message.key);
-  if (message.is_retry) field("X-Retried", "1");
-  if (message.is_post) field("Content-Length", std::to_string(message.body.size()));
-  return out + "\r\n" + message.body;
+  add_field("X-Request-ID", request.id);
+  add_field("X-Priority-Class", request.request_class);
+  add_field("X-Tenant-Id", request.tenant);
+  if (request.timeout > 0) add_field("X-Timeout-Ms", std::to_string(std::lround(request.timeout * 1000)));
+  add_field("Idempotency-Key", request.idempotency_key);
+  if (request.is_retry) add_field("X-Retried", "1");
+  if (request.is_post) add_field("Content-Length", std::to_string(request.body.size()));
+  return text + "\r\n" + request.body;
 }
 
 }  // namespace
 
-// It always reads: while it rests, an end or an answer that nobody asked for shows at once.
-class Client::Link : public std::enable_shared_from_this<Link> {
+/// One connection. It always reads: while it is idle, its end or an unsolicited response shows at once.
+class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  explicit Link(Client& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
+  explicit Connection(HttpClient& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
 
-  bool is_idle() const { return up_ && !done_; }
+  bool is_idle() const { return is_connected_ && !on_response_; }
 
-  void dial(const tcp::endpoint& where, std::string bytes, double patience, Done done) {
-    begin(std::move(bytes), patience, std::move(done));
-    socket_.async_connect(where, [self = shared_from_this()](error_code bad) {
+  void connect(const Tcp::endpoint& server, std::string bytes, double patience, OnResponse on_response) {
+    begin(std::move(bytes), patience, std::move(on_response));
+    socket_.async_connect(server, [self = shared_from_this()](error_code error) {
       if (self->owner_ == nullptr) return;
-      if (bad) return self->end(Result::Kind::kNotConnected);
-      error_code ignored;
-      self->socket_.set_option(tcp::no_delay(true), ignored);
-      self->up_ = true;
+      if (error) return self->fail(Response::Kind::kConnectFailed);
+      net::set_no_delay(self->socket_);
+      self->is_connected_ = true;
       self->write();
       self->read();
     });
   }
-  void reuse(std::string bytes, double patience, Done done) {
-    reused_ = true;
-    begin(std::move(bytes), patience, std::move(done));
+  void reuse(std::string bytes, double patience, OnResponse on_response) {
+    is_reused_ = true;
+    begin(std::move(bytes), patience, std::move(on_response));
     write();
   }
-  void abandon() {
+  /// Closes the connection; nobody hears of it.
+  void detach() {
     owner_ = nullptr;
-    done_ = nullptr;
+    on_response_ = nullptr;
     halt(timer_);
-    error_code ignored;
-    socket_.close(ignored);
+    net::close(socket_);
   }
 
  private:
-  void begin(std::string bytes, double patience, Done done) {
+  void begin(std::string bytes, double patience, OnResponse on_response) {
     bytes_ = std::move(bytes);
-    done_ = std::move(done);
-    until_ = Clock::Steady::now() + Clock::span(patience);
-    timer_.expires_at(until_);
+    on_response_ = std::move(on_response);
+    deadline_ = Clock::Steady::now() + Clock::span(patience);
+    timer_.expires_at(deadline_);
     timer_.async_wait([self = shared_from_this()](error_code cancelled) {
       if (cancelled || Clock::Steady::now() < self->timer_.expiry() || self->owner_ == nullptr) return;
-      self->end(Result::Kind::kGivenUp);
+      self->fail(Response::Kind::kTimedOut);
     });
   }
 
   void write() {
     asio::async_write(socket_, asio::buffer(bytes_), [self = shared_from_this()](error_code, std::size_t) {
-      // A node may answer without reading on: whether the call ended well shows as it is read.
+      // A node may answer without reading on: whether the call ended well shows as the response is read.
     });
   }
 
   void read() {
     parser_.emplace();
-    http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code bad, std::size_t) {
-      if (self->owner_ != nullptr) self->has_read(bad);
+    http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
+      if (self->owner_ != nullptr) self->on_read(error);
     });
   }
 
-  void has_read(error_code bad) {
-    if (!done_) {
-      if (!bad || parser_->got_some()) owner_->stray_answers_ += 1;
+  void on_read(error_code error) {
+    if (!on_response_) {
+      if (!error || parser_->got_some()) owner_->unsolicited_responses_ += 1;
       return close();
     }
-    if (bad) {
-      // A close that crosses a call which the node has not read: the client sends it once more.
-      if (reused_ && !parser_->got_some()) return send_again();
-      return end(Result::Kind::kClosed);
+    if (error) {
+      // A node's close may cross a request that it has not read: the client sends that once more.
+      if (is_reused_ && !parser_->got_some()) return send_on_new_connection();
+      return fail(Response::Kind::kConnectionClosed);
     }
-    Result result;
-    result.kind = Result::Kind::kAnswered;
-    result.status = parser_->get().result_int();
-    result.body = parser_->get().body();
-    const bool keep = parser_->get().keep_alive();
-    const Done done = std::exchange(done_, nullptr);
+    complete();
+  }
+
+  void complete() {
+    Response response;
+    response.kind = Response::Kind::kAnswered;
+    response.status = parser_->get().result_int();
+    response.body = parser_->get().body();
+    const bool keep_alive = parser_->get().keep_alive();
+    const OnResponse on_response = std::exchange(on_response_, nullptr);
     halt(timer_);
-    if (keep) {
+    if (keep_alive) {
       read();
     } else {
       close();
     }
-    done(result);
+    on_response(response);
   }
 
-  void send_again() {
-    Client* owner = owner_;
-    Done done = std::exchange(done_, nullptr);
-    const double left = std::chrono::duration<double>(until_ - Clock::Steady::now()).count();
+  void send_on_new_connection() {
+    HttpClient* owner = owner_;
+    OnResponse on_response = std::exchange(on_response_, nullptr);
+    const double time_left = std::chrono::duration<double>(deadline_ - Clock::Steady::now()).count();
     const std::string bytes = std::move(bytes_);
     close();
-    owner->send(bytes, std::max(left, 0.0), std::move(done), true);
+    owner->send(bytes, std::max(time_left, 0.0), std::move(on_response), Reuse::kForbidden);
   }
 
-  void end(Result::Kind kind) {
-    const Done done = std::exchange(done_, nullptr);
+  void fail(Response::Kind kind) {
+    const OnResponse on_response = std::exchange(on_response_, nullptr);
     close();
-    if (done) done({kind, 0, {}});
+    if (on_response) on_response({kind, 0, {}});
   }
 
   void close() {
-    Client* owner = owner_;
-    abandon();
+    HttpClient* owner = owner_;
+    detach();
     if (owner != nullptr) owner->forget(this);
   }
 
-  Client* owner_;
-  tcp::socket socket_;
+  HttpClient* owner_;  // null once detached
+  Tcp::socket socket_;
   asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
   std::string bytes_;
-  Done done_;
-  Clock::Steady::time_point until_;
-  bool up_ = false, reused_ = false;
+  OnResponse on_response_;  // of the call in flight
+  Clock::Steady::time_point deadline_;
+  bool is_connected_ = false, is_reused_ = false;
 };
 
-Client::Client(asio::io_context& io, const tcp::endpoint& where) : io_(io), where_(where) {}
+HttpClient::HttpClient(asio::io_context& io, const Tcp::endpoint& server) : io_(io), server_(server) {}
 
-Client::~Client() {
-  for (const std::shared_ptr<Link>& link : links_) link->abandon();
+HttpClient::~HttpClient() {
+  for (const std::shared_ptr<Connection>& connection : connections_) connection->detach();
 }
 
-void Client::call(const Message& message, double patience, Done done) {
-  send(bytes_of(message), patience, std::move(done), false);
+void HttpClient::call(const Request& request, double patience, OnResponse on_response) {
+  send(text_of(request), patience, std::move(on_response), Reuse::kAllowed);
 }
 
-void Client::send(const std::string& bytes, double patience, Done done, bool on_a_new_one) {
-  // The one used last: those that are not needed get to rest.
-  const auto idle =
-      std::find_if(links_.rbegin(), links_.rend(), [](const auto& link) { return link->is_idle(); });
-  if (idle != links_.rend() && !on_a_new_one) return (*idle)->reuse(bytes, patience, std::move(done));
-  links_.push_back(std::make_shared<Link>(*this));
-  ++opened_;
-  links_.back()->dial(where_, bytes, patience, std::move(done));
+void HttpClient::send(const std::string& bytes, double patience, OnResponse on_response, Reuse reuse) {
+  // The one used last, so that those that are not needed become idle for good.
+  const auto idle = std::find_if(connections_.rbegin(), connections_.rend(),
+                                 [](const auto& connection) { return connection->is_idle(); });
+  if (idle != connections_.rend() && reuse == Reuse::kAllowed) {
+    return (*idle)->reuse(bytes, patience, std::move(on_response));
+  }
+  connections_.push_back(std::make_shared<Connection>(*this));
+  connections_.back()->connect(server_, bytes, patience, std::move(on_response));
 }
 
-void Client::forget(const Link* link) {
-  std::erase_if(links_, [link](const auto& known) { return known.get() == link; });
+void HttpClient::forget(const Connection* connection) {
+  std::erase_if(connections_, [connection](const auto& known) { return known.get() == connection; });
 }
 
 }  // namespace nettleyoke::lab
--- a/lab/load/http_client.h
+++ b/lab/load/http_client.h
@@ -1,5 +1,6 @@
-// Calls to one node as its clients make them: one call at a time on a connection, connections kept, more
-// opened when all are busy.
+/// @file
+/// Calls to one node as its clients make them: one call at a time on a connection, connections kept alive,
+/// more opened when all are busy.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,48 +12,48 @@
 
 namespace nettleyoke::lab {
 
-class Client {
+class HttpClient {
  public:
-  struct Message {
-    std::string id, request_class, tenant, key, body;
-    double time = 0;  // s that the client waits for the answer
+  struct Request {
+    std::string id, request_class, tenant, idempotency_key, body;
+    double timeout = 0;  ///< s, as the request states it; 0: it states none
     bool is_post = false, is_retry = false;
-    std::string target;  // empty: from the class
+    std::string target;  ///< empty: made of the class and the id
   };
-  struct Result {
+  struct Response {
     enum class Kind {
       kAnswered,
-      kNotConnected,  // the node could not be reached
-      kClosed,        // the connection ended with no whole answer
-      kGivenUp        // no answer as long as the client stayed
+      kConnectFailed,     ///< the node could not be reached
+      kConnectionClosed,  ///< the connection ended without a complete response
+      kTimedOut           ///< no response as long as the client waited
     };
-    Kind kind = Kind::kGivenUp;
+    Kind kind = Kind::kTimedOut;
     unsigned status = 0;
     std::string body;
   };
-  using Done = std::function<void(const Result&)>;
+  using OnResponse = std::function<void(const Response&)>;
 
-  Client(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& where);
-  ~Client();
-  Client(const Client&) = delete;
-  Client& operator=(const Client&) = delete;
+  HttpClient(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& server);
+  ~HttpClient();
+  HttpClient(const HttpClient&) = delete;
+  HttpClient& operator=(const HttpClient&) = delete;
 
-  // Sends once, and calls `done` exactly once, never from within. The client stays for `patience` s, then it
-  // closes the connection.
-  void call(const Message& message, double patience, Done done);
-  // Answers that nobody had asked for.
-  std::size_t stray_answers() const { return stray_answers_; }
-  std::size_t connections_opened() const { return opened_; }
+  /// Sends a request and calls `on_response` exactly once, never from within.
+  /// @param patience s that the client waits; then it closes the connection
+  void call(const Request& request, double patience, OnResponse on_response);
+  /// How many responses came that answer no request.
+  std::size_t unsolicited_responses() const { return unsolicited_responses_; }
 
  private:
-  class Link;
-  void send(const std::string& bytes, double patience, Done done, bool on_a_new_one);
-  void forget(const Link* link);
+  class Connection;
+  enum class Reuse { kAllowed, kForbidden };
+  void send(const std::string& bytes, double patience, OnResponse on_response, Reuse reuse);
+  void forget(const Connection* connection);
 
   boost::asio::io_context& io_;
-  boost::asio::ip::tcp::endpoint where_;
-  std::vector<std::shared_ptr<Link>> links_;
-  std::size_t stray_answers_ = 0, opened_ = 0;
+  boost::asio::ip::tcp::endpoint server_;
+  std::vector<std::shared_ptr<Connection>> connections_;
+  std::size_t unsolicited_responses_ = 0;
 };
 
 }  // namespace nettleyoke::lab
--- a/lab/load/load_generator.cpp
+++ b/lab/load/load_generator.cpp
@@ -1,102 +1,125 @@
 #include "load/load_generator.h"
 
 #include <algorithm>
+#include <memory>
 #include <utility>
 
 namespace nettleyoke::lab {
+namespace {
+
+constexpr double kMinTimeoutSeconds = 0.001;  // the wire's times are whole milliseconds
+
+}  // namespace
 
 using boost::system::error_code;
 using node::Clock;
 
-Callers::Callers(boost::asio::io_context& io, const Clock& clock, Audit& audit, const Experiment& experiment,
-                 const CallersPlan& plan, std::vector<PlayedNode*> nodes, std::uint64_t seed)
+LoadGenerator::LoadGenerator(boost::asio::io_context& io, const Clock& clock, InvariantChecker& checker,
+                             const Experiment& experiment, const LoadSpec& spec,
+                             std::vector<NodeUnderTest*> nodes, std::uint64_t seed)
     : io_(io),
       clock_(clock),
-      audit_(audit),
+      checker_(checker),
       experiment_(experiment),
-      plan_(plan),
+      spec_(spec),
       nodes_(std::move(nodes)),
-      draws_(seed, "retries"),
+      retry_random_(seed, "retries"),
       timer_(io) {
-  if (!plan_.zone.empty()) {
-    std::erase_if(nodes_, [this](const PlayedNode* node) { return node->zone() != plan_.zone; });
+  if (!spec_.zone.empty()) {
+    std::erase_if(nodes_, [this](const NodeUnderTest* node) { return node->zone() != spec_.zone; });
   }
-  if (nodes_.empty()) return;
-  Draws draws(seed, "arrivals");
-  std::vector<double> classes, tenants;
-  for (const ClassPlan& item : experiment.classes) classes.push_back(item.share);
-  for (const TenantPlan& item : experiment.tenants) tenants.push_back(item.share);
-  const double until = plan.until > 0 ? std::min(plan.until, experiment.seconds) : experiment.seconds;
-  double at = plan.from + draws.exponential(1 / plan.per_second);
-  for (; at < until; at += draws.exponential(1 / plan.per_second)) {
+  if (!nodes_.empty()) draw_arrivals(seed);
+}
+
+void LoadGenerator::draw_arrivals(std::uint64_t seed) {
+  RandomStream random(seed, "arrivals");
+  std::vector<double> class_shares;
+  for (const ClassSpec& spec : experiment_.classes) class_shares.push_back(spec.share);
+  std::vector<double> tenant_shares;
+  for (const TenantSpec& spec : experiment_.tenants) tenant_shares.push_back(spec.share);
+  const double until = spec_.until > 0 ? std::min(spec_.until, experiment_.seconds) : experiment_.seconds;
+  const double mean_pause = 1 / spec_.per_second;
+  // The order of the draws is a part of what a seed stands for.
+  for (double at = spec_.from + random.exponential(mean_pause); at < until;
+       at += random.exponential(mean_pause)) {
     Arrival arrival;
     arrival.at = at;
-    arrival.node = nodes_[draws.below(nodes_.size())];
-    PlayedNode::Call& call = arrival.call;
-    call.id = draws.hex16();
-    call.class_number = draws.by_share(classes);
-    if (!tenants.empty()) {
-      call.tenant_number = draws.by_share(tenants);
-      call.tenant = experiment.tenants[call.tenant_number].name;
-    }
-    const ClassPlan& kind = experiment.classes[call.class_number];
-    call.request_class = kind.name;
-    call.is_post = kind.idempotency != Idempotency::kIdempotent;
-    if (kind.idempotency == Idempotency::kIdempotencyKey) call.key = draws.hex16();
-    call.time = kind.client_timeout;
-    if (draws.uniform() < plan.leave_share)
-      call.leave_after = std::max(0.001, draws.uniform() * kind.latency_objective);
+    arrival.node = nodes_[random.uniform_index(nodes_.size())];
+    arrival.call = draw_call(random, class_shares, tenant_shares);
     arrivals_.push_back(std::move(arrival));
   }
 }
 
-void Callers::start() {
-  began_ = clock_.now();
-  wait();
+NodeUnderTest::Call LoadGenerator::draw_call(RandomStream& random, const std::vector<double>& class_shares,
+                                             const std::vector<double>& tenant_shares) const {
+  NodeUnderTest::Call call;
+  call.id = random.hex_id();
+  call.class_number = random.weighted_index(class_shares);
+  if (!tenant_shares.empty()) {
+    call.tenant_number = random.weighted_index(tenant_shares);
+    call.tenant = experiment_.tenants[call.tenant_number].name;
+  }
+  const ClassSpec& spec = experiment_.classes[call.class_number];
+  call.request_class = spec.name;
+  call.is_post = spec.idempotency != Idempotency::kIdempotent;
+  if (spec.idempotency == Idempotency::kIdempotencyKey) call.idempotency_key = random.hex_id();
+  call.timeout = spec.client_timeout;
+  if (random.uniform() < spec_.disconnect_share) {
+    call.disconnect_after = std::max(kMinTimeoutSeconds, random.uniform() * spec.latency_objective);
+  }
+  return call;
+}
+
+void LoadGenerator::start() {
+  started_at_ = clock_.now();
+  wait_for_arrival();
 }
 
-void Callers::stop() {
+void LoadGenerator::stop() {
   stopped_ = true;
   timer_.cancel();
 }
 
-void Callers::wait() {
-  if (stopped_ || next_ == arrivals_.size()) return;
-  timer_.expires_at(clock_.at(began_ + arrivals_[next_].at));
+void LoadGenerator::wait_for_arrival() {
+  if (stopped_ || next_arrival_ == arrivals_.size()) return;
+  timer_.expires_at(clock_.at(started_at_ + arrivals_[next_arrival_].at));
   timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
-    while (next_ < arrivals_.size() && began_ + arrivals_[next_].at <= clock_.now()) {
-      const Arrival& arrival = arrivals_[next_++];
-      send(arrival.node, arrival.call, clock_.now() + arrival.call.time, plan_.retries);
+    while (next_arrival_ < arrivals_.size() && started_at_ + arrivals_[next_arrival_].at <= clock_.now()) {
+      const Arrival& arrival = arrivals_[next_arrival_++];
+      send(arrival.node, arrival.call, {clock_.now() + arrival.call.timeout, spec_.retries});
     }
-    wait();
+    wait_for_arrival();
   });
 }
 
-void Callers::send(PlayedNode* node, const PlayedNode::Call& call, double give_up_at, int tries_left) {
-  audit_.call_sent(call.id, node->number(), call.class_number, call.time, clock_.now());
-  node->call(call, [this, node, call, give_up_at, tries_left](Ending ending) {
-    audit_.call_ended(call.id, ending, clock_.now());
-    // What may have had its effect is not asked for again: the node has done what the class allows.
-    const bool is_safe = experiment_.classes[call.class_number].idempotency == Idempotency::kIdempotent;
-    if (ending == Ending::kRefused || (ending == Ending::kFailed && is_safe)) {
-      try_again(node, call, give_up_at, tries_left);
-    }
+void LoadGenerator::send(NodeUnderTest* node, const NodeUnderTest::Call& call, RetryAllowance allowance) {
+  checker_.call_sent(call.id, node->number(), call.class_number, call.timeout, clock_.now());
+  node->call(call, [this, node, call, allowance](CallOutcome outcome) {
+    checker_.call_ended(call.id, outcome, clock_.now());
+    if (may_retry(call, outcome)) schedule_retry(node, call, allowance);
   });
 }
 
-void Callers::try_again(PlayedNode* node, PlayedNode::Call call, double give_up_at, int tries_left) {
-  if (tries_left <= 0 || stopped_) return;
-  ++pauses_;
-  const double pause = plan_.retry_pause > 0 ? draws_.exponential(plan_.retry_pause) : 0;
+// What may have had its effect is not sent again: the node has done what the class allows.
+bool LoadGenerator::may_retry(const NodeUnderTest::Call& call, CallOutcome outcome) const {
+  if (outcome == CallOutcome::kRejected) return true;
+  return outcome == CallOutcome::kFailed &&
+         experiment_.classes[call.class_number].idempotency == Idempotency::kIdempotent;
+}
+
+void LoadGenerator::schedule_retry(NodeUnderTest* node, NodeUnderTest::Call call, RetryAllowance allowance) {
+  if (allowance.retries_left <= 0 || stopped_) return;
+  ++waiting_retries_;
+  const double pause = spec_.retry_pause > 0 ? retry_random_.exponential(spec_.retry_pause) : 0;
   const auto timer = std::make_shared<boost::asio::steady_timer>(io_, Clock::span(pause));
-  timer->async_wait([this, timer, node, call, give_up_at, tries_left](error_code cancelled) mutable {
-    --pauses_;
-    call.time = give_up_at - clock_.now();
-    if (cancelled || stopped_ || call.time < 0.001) return;
-    call.id = draws_.hex16();
+  timer->async_wait([this, timer, node, call, allowance](error_code cancelled) mutable {
+    --waiting_retries_;
+    call.timeout = allowance.deadline - clock_.now();
+    if (cancelled || stopped_ || call.timeout < kMinTimeoutSeconds) return;
+    call.id = retry_random_.hex_id();
     call.is_retry = true;
-    send(node, call, give_up_at, tries_left - 1);
+    send(node, call, {allowance.deadline, allowance.retries_left - 1});
   });
 }
 
--- a/lab/load/random_stream.h
+++ b/lab/load/random_stream.h
@@ -1,4 +1,5 @@
-// The draws of one part of an experiment: the same seed and part always draw the same.
+/// @file
+/// The random numbers of one part of an experiment: the same seed and part always give the same.
 #pragma once
 
 #include <boost/random/exponential_distribution.hpp>
@@ -12,36 +13,43 @@
 
 namespace nettleyoke::lab {
 
-class Draws {
+/// A generator of its own for each part, so that parts do not shift each other's numbers.
+class RandomStream {
  public:
-  // Parts do not shift each other's draws: each has a generator of its own.
-  Draws(std::uint64_t seed, std::string_view part) {
-    std::uint64_t mixed = 14695981039346656037ULL ^ seed;  // FNV-1a
-    for (const char c : part) mixed = (mixed ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
-    generator_.seed(mixed ^ (seed << 32));
+  RandomStream(std::uint64_t seed, std::string_view part) {
+    constexpr std::uint64_t kFnvOffset = 14695981039346656037ULL;  // FNV-1a
+    constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
+    std::uint64_t hash = kFnvOffset ^ seed;
+    for (const char letter : part) hash = (hash ^ static_cast<unsigned char>(letter)) * kFnvPrime;
+    generator_.seed(hash ^ (seed << 32));
   }
 
+  /// At least 0, below 1.
   double uniform() { return boost::random::uniform_01<>()(generator_); }
   double exponential(double mean) { return boost::random::exponential_distribution<>(1 / mean)(generator_); }
-  std::size_t below(std::size_t count) {
+  /// At least 0, below `count`, which is not 0.
+  std::size_t uniform_index(std::size_t count) {
     return boost::random::uniform_int_distribution<std::size_t>(0, count - 1)(generator_);
   }
-  // A place in `shares`, in proportion to them.
-  std::size_t by_share(const std::vector<double>& shares) {
+  /// An index into `weights`, which are not empty, in proportion to them.
+  std::size_t weighted_index(const std::vector<double>& weights) {
     double sum = 0;
-    for (const double share : shares) sum += share;
-    double left = uniform() * sum;
-    for (std::size_t i = 0; i + 1 < shares.size(); ++i) {
-      if (left < shares[i]) return i;
-      left -= shares[i];
+    for (const double weight : weights) sum += weight;
+    double rest = uniform() * sum;
+    for (std::size_t index = 0; index + 1 < weights.size(); ++index) {
+      if (rest < weights[index]) return index;
+      rest -= weights[index];
     }
-    return shares.size() - 1;
+    return weights.size() - 1;
   }
-  std::string hex16() {
-    constexpr char kDigits[] = "0123456789abcdef";
-    std::string out;
-    for (std::uint64_t left = generator_(), i = 0; i < 16; ++i, left >>= 4) out += kDigits[left & 15];
-    return out;
+  /// 16 hexadecimal digits.
+  std::string hex_id() {
+    constexpr std::string_view kDigits = "0123456789abcdef";
+    constexpr int kDigitCount = 16;
+    std::string digits;
+    std::uint64_t rest = generator_();
+    for (int i = 0; i < kDigitCount; ++i, rest >>= 4) digits += kDigits[rest & 15];
+    return digits;
   }
 
  private:
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,22 +1,28 @@
-// nettleyoke-lab: plays experiments on real nodes, with all that surrounds them on loopback.
+/// @file
+/// nettleyoke-lab: runs experiments on real nodes, with all that surrounds them on loopback.
 #include <sys/resource.h>
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
-#include <cmath>
+#include <cstdint>
 #include <cstdio>
+#include <cstdlib>
 #include <exception>
 #include <filesystem>
 #include <fstream>
 #include <iostream>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <system_error>
 #include <vector>
 
+#include "report/json_report.h"
 #include "report/report.h"
+#include "report/text_report.h"
 #include "run/experiment.h"
+#include "run/experiment_reader.h"
 #include "run/experiment_run.h"
 
 namespace {
@@ -24,14 +30,26 @@
 namespace lab = nettleyoke::lab;
 namespace fs = std::filesystem;
 
-constexpr int kBroken = 1, kBadExperiment = 2, kCutOff = 130;
+constexpr int kPassed = EXIT_SUCCESS;
+constexpr int kFailed = 1;  // a rule was violated, or the run could not be made
+constexpr int kBadExperiment = 2;
+constexpr int kInterrupted = 130;  // as a shell has it after SIGINT
 
-// Removed with all that is in it.
+constexpr const char* kDefaultExperimentFolder = "lab/experiments";
+constexpr const char* kDefaultResultsFolder = "lab-results";  // beside this program
+constexpr const char* kNodeProgram = "nettleyoke";            // beside this program
+
+/// What keeps a run from being made or its results from being written.
+struct LabError : std::runtime_error {
+  using std::runtime_error::runtime_error;
+};
+
+/// A temporary folder, removed with all that is in it.
 class WorkFolder {
  public:
   WorkFolder() {
     std::string name = (fs::temp_directory_path() / "nettleyoke-lab-XXXXXX").string();
-    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the nodes' files");
+    if (::mkdtemp(name.data()) == nullptr) throw LabError("no folder for the nodes' files");
     path_ = name;
   }
   ~WorkFolder() {
@@ -46,7 +64,19 @@
   fs::path path_;
 };
 
-// On a terminal one line that is written over, elsewhere a line of JSON for each step.
+struct RunArguments {
+  std::string experiment, json, program, results, logs;
+  std::optional<std::uint64_t> seed;
+};
+
+struct Arguments {
+  enum class Command { kRun, kList };
+  Command command = Command::kRun;
+  RunArguments run;
+  std::string list_folder = kDefaultExperimentFolder;
+};
+
+/// On a terminal one line that is written over, elsewhere a line of JSON for each step.
 void show_step(const std::string& step, double at) {
   if (::isatty(STDERR_FILENO) != 0) {
     std::fprintf(stderr, "\r\033[K%6.1f s  %s", at, step.c_str());
@@ -56,52 +86,62 @@
   std::fflush(stderr);
 }
 
+void clear_step() {
+  if (::isatty(STDERR_FILENO) != 0) std::fputs("\r\033[K", stderr);
+}
+
 void write_file(const fs::path& path, const std::string& text) {
   if (path.has_parent_path()) fs::create_directories(path.parent_path());
   std::ofstream file(path, std::ios::binary);
   file << text;
   file.close();
-  if (!file) throw std::runtime_error("cannot write " + path.string());
+  if (!file) throw LabError("cannot write " + path.string());
 }
 
 fs::path own_folder() { return fs::read_symlink("/proc/self/exe").parent_path(); }
 
-struct Run {
-  std::string experiment, json, program, results, logs;
-  std::optional<std::uint64_t> seed;
-};
-
-// Each hollow node takes four descriptors.
-void raise_descriptors() {
+/// Each hollow node takes four descriptors.
+void raise_descriptor_limit() {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
   limit.rlim_cur = limit.rlim_max;
   ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-int run(const Run& options) {
-  lab::Experiment experiment = lab::read_experiment(options.experiment);
-  if (options.seed) experiment.seed = *options.seed;
-  raise_descriptors();
+std::string node_program(const RunArguments& arguments) {
+  std::string program =
+      arguments.program.empty() ? (own_folder() / kNodeProgram).string() : arguments.program;
+  if (::access(program.c_str(), X_OK) != 0) throw LabError("no node at " + program);
+  return program;
+}
+
+void write_results(const RunArguments& arguments, const WorkFolder& work_folder, const lab::Report& report) {
+  const fs::path folder =
+      arguments.results.empty() ? own_folder() / kDefaultResultsFolder : fs::path(arguments.results);
+  const std::string json = lab::to_json(report);
+  const std::string table = lab::to_table(report);
+  const std::string name = report.experiment->name + "-" + std::to_string(report.seed);
+  write_file(folder / (name + ".json"), json);
+  write_file(folder / (name + ".txt"), table);
+  if (!arguments.json.empty()) write_file(arguments.json, json);
+  if (!arguments.logs.empty()) {
+    fs::copy(work_folder.path(), arguments.logs,
+             fs::copy_options::recursive | fs::copy_options::overwrite_existing);
+  }
+  std::cout << table << "results in " << (folder / name).string() << ".json, .txt\n";
+}
+
+int run(const RunArguments& arguments) {
+  lab::Experiment experiment = lab::read_experiment(arguments.experiment);
+  if (arguments.seed) experiment.seed = *arguments.seed;
+  raise_descriptor_limit();
   const WorkFolder folder;
-  lab::PlayOptions play;
-  play.program = options.program.empty() ? (own_folder() / "nettleyoke").string() : options.program;
-  if (::access(play.program.c_str(), X_OK) != 0) throw std::runtime_error("no node at " + play.program);
-  play.folder = folder.path().string();
-  play.progress = show_step;
-  const lab::Report report = lab::play(experiment, play);
-  if (::isatty(STDERR_FILENO) != 0) std::fputs("\r\033[K", stderr);
-  const fs::path results = options.results.empty() ? own_folder() / "lab-results" : fs::path(options.results);
-  const std::string json = lab::to_json(report), table = lab::to_table(report);
-  const std::string name = experiment.name + "-" + std::to_string(experiment.seed);
-  write_file(results / (name + ".json"), json);
-  write_file(results / (name + ".txt"), table);
-  if (!options.json.empty()) write_file(options.json, json);
-  if (!options.logs.empty())
-    fs::copy(folder.path(), options.logs, fs::copy_options::recursive | fs::copy_options::overwrite_existing);
-  std::cout << table << "results in " << (results / name).string() << ".json, .txt\n";
-  if (report.cut_off) return kCutOff;
-  return report.is_good() ? EXIT_SUCCESS : kBroken;
+  const lab::RunOptions options{node_program(arguments), folder.path().string(), show_step};
+  const lab::Report report = lab::run_experiment(experiment, options);
+  clear_step();
+  write_results(arguments, folder, report);
+  if (report.interrupted) return kInterrupted;
+  return report.passed() ? kPassed : kFailed;
 }
 
 int list(const std::string& folder) {
@@ -114,33 +154,44 @@
     const lab::Experiment experiment = lab::read_experiment(file.string());
     std::printf("%-40s %5.0f s  %s\n", file.string().c_str(), experiment.seconds, experiment.title.c_str());
   }
-  return EXIT_SUCCESS;
+  return kPassed;
+}
+
+/// @throws CLI::ParseError when the arguments can't be understood, and for --help
+void parse(CLI::App& app, int count, char** values, Arguments& arguments) {
+  RunArguments& run_arguments = arguments.run;
+  app.require_subcommand(1);
+  CLI::App* run_command = app.add_subcommand("run", "Play an experiment; 0: all rules were kept");
+  run_command->add_option("experiment", run_arguments.experiment, "A .toml file")->required();
+  run_command->add_option("--seed", run_arguments.seed, "Instead of the experiment's own");
+  run_command->add_option("--json", run_arguments.json, "The results go here too");
+  run_command->add_option("--node", run_arguments.program,
+                          "The node's program; else the one built beside this");
+  run_command->add_option("--results", run_arguments.results,
+                          "The folder for results; else beside this program");
+  run_command->add_option("--logs", run_arguments.logs,
+                          "Keep the nodes' logs and configurations in this folder");
+  CLI::App* list_command = app.add_subcommand("list", "The experiments there are");
+  list_command->add_option("folder", arguments.list_folder, "Where they lie")->capture_default_str();
+  app.parse(count, values);
+  arguments.command = run_command->parsed() ? Arguments::Command::kRun : Arguments::Command::kList;
 }
 
 }  // namespace
 
 int main(int count, char** values) {
+  Arguments arguments;
+  CLI::App app{"Plays experiments on real nodes, with servers, discovery and callers on loopback."};
   try {
-    CLI::App app{"Plays experiments on real nodes, with servers, discovery and callers on loopback."};
-    app.require_subcommand(1);
-    Run options;
-    std::string folder = "lab/experiments";
-    CLI::App* run_command = app.add_subcommand("run", "Play an experiment; 0: all rules were kept");
-    run_command->add_option("experiment", options.experiment, "A .toml file")->required();
-    run_command->add_option("--seed", options.seed, "Instead of the experiment's own");
-    run_command->add_option("--json", options.json, "The results go here too");
-    run_command->add_option("--node", options.program, "The node's program; else the one built beside this");
-    run_command->add_option("--results", options.results, "The folder for results; else beside this program");
-    run_command->add_option("--logs", options.logs, "Keep the nodes' logs and configurations in this folder");
-    CLI::App* list_command = app.add_subcommand("list", "The experiments there are");
-    list_command->add_option("folder", folder, "Where they lie")->capture_default_str();
-    CLI11_PARSE(app, count, values);
-    return run_command->parsed() ? run(options) : list(folder);
-  } catch (const lab::BadExperiment& problem) {
+    parse(app, count, values, arguments);
+    return arguments.command == Arguments::Command::kRun ? run(arguments.run) : list(arguments.list_folder);
+  } catch (const CLI::ParseError& problem) {
+    return app.exit(problem);
+  } catch (const lab::ExperimentError& problem) {
     std::fprintf(stderr, "nettleyoke-lab: %s\n", problem.what());
     return kBadExperiment;
   } catch (const std::exception& problem) {
     std::fprintf(stderr, "nettleyoke-lab: %s\n", problem.what());
   }
-  return kBroken;
+  return kFailed;
 }
--- /dev/null
+++ b/lab/nodes/admin_call.cpp
@@ -0,0 +1,74 @@
+#include "nodes/admin_call.h"
+
+#include <boost/asio/read.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <boost/asio/streambuf.hpp>
+#include <boost/asio/write.hpp>
+#include <chrono>
+#include <memory>
+#include <sstream>
+#include <utility>
+
+#include "net/loopback.h"
+
+namespace nettleyoke::lab {
+namespace {
+
+namespace asio = boost::asio;
+using boost::system::error_code;
+using Tcp = asio::ip::tcp;
+
+constexpr std::chrono::seconds kAnswerTimeout{2};
+
+/// Keeps itself alive until the line has answered or the time is up.
+class AdminCall : public std::enable_shared_from_this<AdminCall> {
+ public:
+  AdminCall(asio::io_context& io, std::string command, std::function<void(std::string)> on_answer)
+      : socket_(io), timer_(io), command_(std::move(command) + "\n"), on_answer_(std::move(on_answer)) {}
+
+  void start(const Tcp::endpoint& endpoint) {
+    timer_.expires_after(kAnswerTimeout);
+    timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+      if (!cancelled) net::close(self->socket_);
+    });
+    socket_.async_connect(endpoint, [self = shared_from_this()](error_code error) {
+      if (error) return self->finish("");
+      self->write();
+    });
+  }
+
+ private:
+  void write() {
+    asio::async_write(socket_, asio::buffer(command_),
+                      [self = shared_from_this()](error_code error, std::size_t) {
+                        if (error) return self->finish("");
+                        self->read_to_end();
+                      });
+  }
+  void read_to_end() {
+    asio::async_read(socket_, answer_, [self = shared_from_this()](error_code, std::size_t) {
+      std::ostringstream text;
+      text << &self->answer_;
+      self->finish(text.str());
+    });
+  }
+  void finish(const std::string& answer) {
+    timer_.cancel();
+    on_answer_(answer);
+  }
+
+  Tcp::socket socket_;
+  asio::steady_timer timer_;
+  asio::streambuf answer_;
+  std::string command_;
+  std::function<void(std::string)> on_answer_;
+};
+
+}  // namespace
+
+void call_admin(asio::io_context& io, const Tcp::endpoint& endpoint, const std::string& command,
+                std::function<void(std::string)> on_answer) {
+  std::make_shared<AdminCall>(io, command, std::move(on_answer))->start(endpoint);
+}
+
+}  // namespace nettleyoke::lab
--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -20,15 +20,15 @@
 
 double margin_of(double time_left) { return std::min(kMargin, kMarginPart * time_left); }
 
-Outcome outcome_of(AttemptEnd how) {
+Outcome outcome_of(AttemptOutcome how) {
   switch (how) {
-    case AttemptEnd::kServed:
+    case AttemptOutcome::kServed:
       return Outcome::kSucceeded;
-    case AttemptEnd::kError:
+    case AttemptOutcome::kServerError:
       return Outcome::kServerError;
-    case AttemptEnd::kTurnedAway:
+    case AttemptOutcome::kRejected:
       return Outcome::kRejected;
-    case AttemptEnd::kCut:
+    case AttemptOutcome::kReset:
       return Outcome::kReset;
     default:
       return Outcome::kUnknown;
@@ -97,11 +97,11 @@
   later(0, [this] { std::exchange(ready_call_, nullptr)(); });
 }
 
-std::optional<asio::ip::tcp::endpoint> HollowNode::operators() const {
+std::optional<asio::ip::tcp::endpoint> HollowNode::admin_endpoint() const {
   return config_.ops && ops_ ? std::optional(ops_->local()) : std::nullopt;
 }
 
-void HollowNode::end() {
+void HollowNode::shut_down() {
   discovery_.reset();
   ops_.reset();
   ended_ = true;
@@ -152,39 +152,40 @@
 
 // ---------------------------------------------------------------- calls
 
-void HollowNode::call(const Call& call, std::function<void(Ending)> ended) {
+void HollowNode::call(const Call& call, std::function<void(CallOutcome)> ended) {
   metrics_.request_started();
   Held& held = held_[call.id];
   held.request_class = call.request_class;
   held.class_number = call.class_number;
   held.ended = std::move(ended);
-  held.time_left = call.time;
+  held.time_left = call.timeout;
   if (held_.size() > config_.max_open) {
-    answer(held, Ending::kRefused);
+    answer(held, CallOutcome::kRejected);
     return settle(call.id);
   }
-  const double margin = margin_of(call.time), end = clock_.now() + call.time;
+  const double margin = margin_of(call.timeout), end = clock_.now() + call.timeout;
   held.until = end - margin;
-  const auto wait = [this, id = call.id](double at, Ending ending) {
+  const auto wait = [this, id = call.id](double at, CallOutcome ending) {
     auto timer = std::make_unique<asio::steady_timer>(io_, clock_.at(at));
     timer->async_wait([this, alive = alive_, id, ending](error_code cancelled) {
       if (!cancelled && *alive) gone(id, ending);
     });
     return timer;
   };
-  held.guard = wait(end - kGuardPart * margin, Ending::kFailed);
-  if (call.leave_after > 0) held.leave = wait(clock_.now() + call.leave_after, Ending::kLeft);
+  held.guard = wait(end - kGuardPart * margin, CallOutcome::kFailed);
+  if (call.disconnect_after > 0)
+    held.leave = wait(clock_.now() + call.disconnect_after, CallOutcome::kClientDisconnected);
   Request event;
   event.id = call.id;
   event.tenant = call.tenant_number;
   event.request_class = call.class_number;
-  event.time_left = call.time - margin;
+  event.time_left = call.timeout - margin;
   event.is_client_retry = call.is_retry;
   happen(std::move(event));
 }
 
 // Its client has left, or its time is up.
-void HollowNode::gone(const std::string& id, Ending ending) {
+void HollowNode::gone(const std::string& id, CallOutcome ending) {
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.is_over()) return;
   answer(at->second, ending);
@@ -192,12 +193,13 @@
   settle(id);
 }
 
-void HollowNode::answer(Held& held, Ending ending) {
+void HollowNode::answer(Held& held, CallOutcome ending) {
   held.guard.reset();
   held.leave.reset();
-  metrics_.request_ended(held.request_class, ending == Ending::kServed    ? node::RequestResult::kServed
-                                             : ending == Ending::kRefused ? node::RequestResult::kRejected
-                                                                          : node::RequestResult::kFailed);
+  metrics_.request_ended(held.request_class, ending == CallOutcome::kServed ? node::RequestResult::kServed
+                                             : ending == CallOutcome::kRejected
+                                                 ? node::RequestResult::kRejected
+                                                 : node::RequestResult::kFailed);
   asio::post(io_, [ended = std::exchange(held.ended, nullptr), ending] { ended(ending); });
 }
 
@@ -208,7 +210,7 @@
   Attempt& attempt = held.attempts[number];
   attempt.open = false;
   attempt.timer.reset();
-  if (outcome == Outcome::kSucceeded && !held.is_over()) answer(held, Ending::kServed);
+  if (outcome == Outcome::kSucceeded && !held.is_over()) answer(held, CallOutcome::kServed);
   AttemptResult event;
   event.id = id;
   event.attempt = static_cast<int>(number);
@@ -271,8 +273,8 @@
   }
   metrics_.attempt_sent();
   attempt.number =
-      attempt.server->begin_direct(action.id, place_.number, held.class_number, timeout,
-                                   [this, alive = alive_, id = action.id, number](AttemptEnd how) {
+      attempt.server->start_direct(action.id, place_.number, held.class_number, timeout,
+                                   [this, alive = alive_, id = action.id, number](AttemptOutcome how) {
                                      if (*alive) attempt_ended(id, number, outcome_of(how));
                                    });
   attempt.timer = std::make_unique<asio::steady_timer>(io_, Clock::span(timeout));
@@ -281,7 +283,7 @@
     const auto found = held_.find(id);
     if (found == held_.end() || !found->second.attempts[number].open) return;
     Attempt& late = found->second.attempts[number];
-    late.server->give_up_direct(late.number);
+    late.server->cancel_direct(late.number);
     attempt_ended(id, number, Outcome::kTimedOut);
   });
 }
@@ -289,14 +291,14 @@
 void HollowNode::perform(const Reject& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end() || at->second.is_over()) return;
-  answer(at->second, Ending::kRefused);
+  answer(at->second, CallOutcome::kRejected);
   settle(action.id);
 }
 
 void HollowNode::perform(const Fail& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end() || at->second.is_over()) return;
-  answer(at->second, Ending::kFailed);
+  answer(at->second, CallOutcome::kFailed);
   settle(action.id);
 }
 
@@ -306,7 +308,7 @@
   if (at == held_.end() || number >= at->second.attempts.size() || !at->second.attempts[number].open) return;
   Attempt& attempt = at->second.attempts[number];
   attempt.timer.reset();
-  if (attempt.server != nullptr) attempt.server->give_up_direct(attempt.number);
+  if (attempt.server != nullptr) attempt.server->cancel_direct(attempt.number);
   end_later(action.id, number, Outcome::kCancelled);
 }
 
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -27,11 +27,11 @@
 
 namespace nettleyoke::lab {
 
-class HollowNode : public PlayedNode {
+class HollowNode : public NodeUnderTest {
  public:
   struct Place {
     std::string folder, name, zone;  // its configuration is kept in the folder
-    std::size_t number = 0;          // in the audit
+    std::size_t number = 0;          // in the checker
   };
   // The server of a name, or nothing.
   using Servers = std::function<ServerStandIn*(const std::string& name)>;
@@ -45,28 +45,28 @@
   std::size_t number() const override { return place_.number; }
   const std::string& zone() const override { return place_.zone; }
   void start(const std::string& config, std::function<void()> ready) override;
-  void call(const Call& call, std::function<void(Ending)> ended) override;
-  void end() override;
-  bool has_ended() override { return ended_; }
-  int status() const override { return 0; }
+  void call(const Call& call, std::function<void(CallOutcome)> ended) override;
+  void shut_down() override;
+  bool has_exited() override { return ended_; }
+  int exit_status() const override { return 0; }
   Usage usage() const override { return {}; }
-  std::optional<boost::asio::ip::tcp::endpoint> operators() const override;
+  std::optional<boost::asio::ip::tcp::endpoint> admin_endpoint() const override;
   std::string log() const override { return {}; }
-  std::size_t stray_answers() const override { return 0; }
-  std::optional<std::uint64_t> list_index() const override { return index_; }
+  std::size_t unsolicited_responses() const override { return 0; }
+  std::optional<std::uint64_t> list_version() const override { return index_; }
 
  private:
   struct Attempt {
     ServerStandIn* server = nullptr;
-    ServerStandIn::DirectNumber number = 0;
+    ServerStandIn::DirectAttemptId number = 0;
     double since = 0;
     std::unique_ptr<boost::asio::steady_timer> timer;
     bool open = true;
   };
   struct Held {
     std::string request_class;
-    std::function<void(Ending)> ended;  // empty once the final answer is out, or nobody waits for it
-    double until = 0, time_left = 0;    // when attempts end, a margin before the client gives up
+    std::function<void(CallOutcome)> ended;  // empty once the final answer is out, or nobody waits for it
+    double until = 0, time_left = 0;         // when attempts end, a margin before the client gives up
     std::size_t class_number = 0;
     std::unique_ptr<boost::asio::steady_timer> guard, leave;
     std::vector<Attempt> attempts;
@@ -81,8 +81,8 @@
   void handle(const Event& event);
   void attempt_ended(const std::string& id, std::size_t attempt, Outcome outcome);
   void end_later(const std::string& id, std::size_t attempt, Outcome outcome);
-  void answer(Held& held, Ending ending);
-  void gone(const std::string& id, Ending ending);
+  void answer(Held& held, CallOutcome ending);
+  void gone(const std::string& id, CallOutcome ending);
   void settle(const std::string& id);
   void later(double seconds, std::function<void()> what);
 
--- a/lab/nodes/real_node.h
+++ b/lab/nodes/real_node.h
@@ -1,4 +1,5 @@
-// A real node: the built program as a child process, started and ended as DEPLOY has it.
+/// @file
+/// A real node: the built program as a child process, started and ended as DEPLOY has it.
 #pragma once
 
 #include <sys/types.h>
@@ -9,6 +10,7 @@
 #include <functional>
 #include <memory>
 #include <optional>
+#include <stdexcept>
 #include <string>
 
 #include "checks/invariant_checker.h"
@@ -17,52 +19,59 @@
 
 namespace nettleyoke::lab {
 
-// One call on an operators' line; `done` gets what was answered, or nothing after two seconds.
-void call_operators(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& where,
-                    const std::string& line, std::function<void(std::string)> done);
+/// No process could be started for a node.
+struct NodeStartError : std::runtime_error {
+  using std::runtime_error::runtime_error;
+};
 
-class RealNode : public PlayedNode {
+class RealNode : public NodeUnderTest {
  public:
-  struct Place {
-    std::string program, folder;  // the node's files are kept in the folder
+  struct Options {
+    std::string program, folder;  ///< the node's files are kept in the folder
     std::string name, zone;
-    std::size_t number = 0;     // in the audit
-    std::size_t sockets = 512;  // descriptors that it may hold
+    std::size_t number = 0;         ///< in the checker
+    std::size_t descriptors = 512;  ///< that it may have open
   };
-  RealNode(boost::asio::io_context& io, Audit& audit, Place place);
-  ~RealNode() override;  // kills what still runs
+  RealNode(boost::asio::io_context& io, InvariantChecker& checker, Options options);
+  /// Kills the process if it still runs.
+  ~RealNode() override;
 
   const char* kind() const override { return "real"; }
-  std::size_t number() const override { return place_.number; }
-  const std::string& zone() const override { return place_.zone; }
-  // Throws std::runtime_error when there can be no process.
+  std::size_t number() const override { return options_.number; }
+  const std::string& zone() const override { return options_.zone; }
+  /// @throws NodeStartError when no process can be started
   void start(const std::string& config, std::function<void()> ready) override;
-  void call(const Call& call, std::function<void(Ending)> ended) override;
-  void end() override;
-  bool has_ended() override;
-  int status() const override { return status_; }
+  void call(const Call& call, std::function<void(CallOutcome)> ended) override;
+  void shut_down() override;
+  bool has_exited() override;
+  int exit_status() const override { return exit_status_; }
   Usage usage() const override;
-  std::optional<boost::asio::ip::tcp::endpoint> operators() const override;
+  std::optional<boost::asio::ip::tcp::endpoint> admin_endpoint() const override;
   std::string log() const override;
-  std::size_t stray_answers() const override { return client_ ? client_->stray_answers() : 0; }
-  std::optional<std::uint64_t> list_index() const override { return std::nullopt; }
+  std::size_t unsolicited_responses() const override {
+    return client_ ? client_->unsolicited_responses() : 0;
+  }
+  std::optional<std::uint64_t> list_version() const override { return std::nullopt; }
 
-  // For calls of servers that stand before it, beside those of callers.
-  Client& client() { return *client_; }
+  /// For calls of servers that stand before it, beside those of clients. It is there once the node is ready.
+  HttpClient& client() { return *client_; }
 
  private:
-  void look();
-  void ask_health();
-  std::optional<boost::asio::ip::tcp::endpoint> logged(const std::string& before) const;
+  std::string file(const std::string& extension) const;
+  [[noreturn]] void execute_program(const std::string& config_file, const std::string& log_file) const;
+  void poll_until_listening();
+  void check_health();
+  CallOutcome outcome_of(const Call& call, const HttpClient::Response& response);
+  std::optional<boost::asio::ip::tcp::endpoint> logged_endpoint(const std::string& label) const;
 
   boost::asio::io_context& io_;
-  Audit& audit_;
-  Place place_;
+  InvariantChecker& checker_;
+  Options options_;
   boost::asio::steady_timer timer_;
-  std::unique_ptr<Client> client_;
+  std::unique_ptr<HttpClient> client_;  // once the node listens
   std::function<void()> ready_;
-  pid_t pid_ = -1;
-  int status_ = 0;
+  pid_t pid_ = -1;  // while the process runs
+  int exit_status_ = 0;
 };
 
 }  // namespace nettleyoke::lab
--- a/lab/run/experiment_run.h
+++ b/lab/run/experiment_run.h
@@ -1,8 +1,10 @@
-// One play of an experiment: starts all that takes part, makes the changes as they fall due, waits for the
-// last answers, ends everything, and gives what was measured. It ends by itself.
+/// @file
+/// One run of an experiment: starts all that takes part, injects the faults as they fall due, waits for the
+/// last responses, ends everything, and gives what was measured. It ends by itself.
 #pragma once
 
 #include <functional>
+#include <stdexcept>
 #include <string>
 
 #include "report/report.h"
@@ -10,13 +12,20 @@
 
 namespace nettleyoke::lab {
 
-struct PlayOptions {
-  std::string program;                                               // the node
-  std::string folder;                                                // for the nodes' files
-  std::function<void(const std::string& step, double at)> progress;  // s from the first call
+struct RunOptions {
+  std::string program;                                               ///< the node
+  std::string folder;                                                ///< for the nodes' files
+  std::function<void(const std::string& step, double at)> progress;  ///< s from the first call
 };
 
-// Throws std::runtime_error when the nodes don't come up. SIGINT and SIGTERM cut it off in order.
-Report play(const Experiment& experiment, const PlayOptions& options);
+/// The nodes did not come up; the text has what they logged.
+struct RunError : std::runtime_error {
+  using std::runtime_error::runtime_error;
+};
+
+/// Runs an experiment. SIGINT and SIGTERM end it early, with what was measured so far.
+/// @param experiment outlives the report
+/// @throws RunError when the nodes don't come up
+[[nodiscard]] Report run_experiment(const Experiment& experiment, const RunOptions& options);
 
 }  // namespace nettleyoke::lab
--- a/lab/stand_ins/server_model.cpp
+++ b/lab/stand_ins/server_model.cpp
@@ -4,6 +4,11 @@
 #include <utility>
 
 namespace nettleyoke::lab {
+namespace {
+
+constexpr double kMinSpeed = 1e-3;  // keeps the time of a request finite
+
+}  // namespace
 
 using boost::system::error_code;
 using node::Clock;
@@ -13,96 +18,96 @@
 
 ServerModel::~ServerModel() = default;
 
-double ServerModel::speed_now() const {
-  if (cold_since_ < 0 || shape_.slow_start_duration <= 0) return speed_;
-  const double part = std::clamp((clock_.now() - cold_since_) / shape_.slow_start_duration, 0.0, 1.0);
+double ServerModel::current_speed() const {
+  if (slow_start_since_ < 0 || shape_.slow_start_duration <= 0) return speed_;
+  const double part = std::clamp((clock_.now() - slow_start_since_) / shape_.slow_start_duration, 0.0, 1.0);
   return speed_ * (shape_.initial_capacity + (1 - shape_.initial_capacity) * part);
 }
 
-ServerModel::Number ServerModel::begin(double work, double until, Done done) {
-  const Number number = ++next_;
-  Job& job = jobs_[number];
+ServerModel::JobId ServerModel::begin(double work, double deadline, OnEnd on_end) {
+  const JobId job_id = ++last_job_id_;
+  Job& job = jobs_[job_id];
   job.work = work;
-  job.until = until;
-  job.done = std::move(done);
-  if (hanging_) return number;  // taken, and nothing comes of it
+  job.deadline = deadline;
+  job.on_end = std::move(on_end);
+  if (is_hanging_) return job_id;  // taken, and nothing comes of it
   if (running_ < static_cast<std::size_t>(shape_.slots)) {
-    run(number);
-  } else if (waiting_.size() < static_cast<std::size_t>(shape_.room)) {
-    waiting_.push_back(number);
+    run(job_id);
+  } else if (queue_.size() < static_cast<std::size_t>(shape_.queue_limit)) {
+    queue_.push_back(job_id);
   } else {
-    end_later(number, End::kTurnedAway);
+    end_soon(job_id, Outcome::kRejected);
   }
-  return number;
+  return job_id;
 }
 
-void ServerModel::run(Number number) {
-  Job& job = jobs_.at(number);
+void ServerModel::run(JobId job_id) {
+  Job& job = jobs_.at(job_id);
   ++running_;
-  // Those that run together share the cores; what runs already keeps the pace that it began with.
+  // Requests that run together share the cores; one that runs already keeps the speed that it began with.
   const double share = std::min(1.0, static_cast<double>(shape_.cores) / static_cast<double>(running_));
   job.timer = std::make_unique<boost::asio::steady_timer>(
-      io_, Clock::span(job.work / std::max(1e-3, speed_now() * share)));
-  job.timer->async_wait([this, number](error_code cancelled) {
-    if (!cancelled) finish(number);
+      io_, Clock::span(job.work / std::max(kMinSpeed, current_speed() * share)));
+  job.timer->async_wait([this, job_id](error_code cancelled) {
+    if (!cancelled) finish(job_id);
   });
 }
 
-void ServerModel::finish(Number number) {
-  const auto at = jobs_.find(number);
-  if (at == jobs_.end()) return;
-  const Done done = std::move(at->second.done);
-  work_done_ += at->second.work;
-  jobs_.erase(at);
+void ServerModel::finish(JobId job_id) {
+  const auto found = jobs_.find(job_id);
+  if (found == jobs_.end()) return;
+  const OnEnd on_end = std::move(found->second.on_end);
+  work_done_ += found->second.work;
+  jobs_.erase(found);
   --running_;
-  run_waiting();
-  if (done && !hanging_) done(failing_ ? End::kFailed : End::kServed);
+  run_queued();
+  if (on_end && !is_hanging_) on_end(is_failing_ ? Outcome::kFailed : Outcome::kServed);
 }
 
-void ServerModel::run_waiting() {
-  while (!waiting_.empty() && running_ < static_cast<std::size_t>(shape_.slots)) {
-    const Number number = waiting_.front();
-    waiting_.pop_front();
-    if (jobs_.at(number).until <= clock_.now()) {
-      end_later(number, End::kOver);
+void ServerModel::run_queued() {
+  while (!queue_.empty() && running_ < static_cast<std::size_t>(shape_.slots)) {
+    const JobId job_id = queue_.front();
+    queue_.pop_front();
+    if (jobs_.at(job_id).deadline <= clock_.now()) {
+      end_soon(job_id, Outcome::kExpired);
     } else {
-      run(number);
+      run(job_id);
     }
   }
 }
 
-void ServerModel::end_later(Number number, End end) {
-  Job& job = jobs_.at(number);
+void ServerModel::end_soon(JobId job_id, Outcome outcome) {
+  Job& job = jobs_.at(job_id);
   job.timer = std::make_unique<boost::asio::steady_timer>(io_, Clock::Steady::duration::zero());
-  job.timer->async_wait([this, number, end](error_code cancelled) {
-    const auto at = jobs_.find(number);
-    if (cancelled || at == jobs_.end()) return;
-    const Done done = std::move(at->second.done);
-    jobs_.erase(at);
-    if (done) done(end);
+  job.timer->async_wait([this, job_id, outcome](error_code cancelled) {
+    const auto found = jobs_.find(job_id);
+    if (cancelled || found == jobs_.end()) return;
+    const OnEnd on_end = std::move(found->second.on_end);
+    jobs_.erase(found);
+    if (on_end) on_end(outcome);
   });
 }
 
-void ServerModel::withdraw(Number number) {
-  const auto at = jobs_.find(number);
-  if (at == jobs_.end()) return;
-  at->second.done = nullptr;
-  if (at->second.timer) return;  // it runs
-  std::erase(waiting_, number);
-  jobs_.erase(at);
+void ServerModel::cancel(JobId job_id) {
+  const auto found = jobs_.find(job_id);
+  if (found == jobs_.end()) return;
+  found->second.on_end = nullptr;
+  if (found->second.timer) return;  // it runs
+  std::erase(queue_, job_id);
+  jobs_.erase(found);
 }
 
 void ServerModel::stop() {
   jobs_.clear();
-  waiting_.clear();
+  queue_.clear();
   running_ = 0;
 }
 
 void ServerModel::start() {
   stop();
-  hanging_ = failing_ = false;
+  is_hanging_ = is_failing_ = false;
   speed_ = 1;
-  cold_since_ = clock_.now();
+  slow_start_since_ = clock_.now();
 }
 
 }  // namespace nettleyoke::lab
--- a/lab/stand_ins/server_model.h
+++ b/lab/stand_ins/server_model.h
@@ -1,5 +1,6 @@
-// What a server does with its requests: cores, slots, a waiting room, a cold start, and the ways in which it
-// goes bad. It knows nothing of sockets: server stand-ins put it behind HTTP, hollow nodes call it directly.
+/// @file
+/// What a server does with its requests: cores, slots, a queue, a slow start, and the ways in which it goes
+/// bad. It knows nothing of sockets: server stand-ins put it behind HTTP, hollow nodes call it directly.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,7 +8,6 @@
 #include <cstdint>
 #include <deque>
 #include <functional>
-#include <map>
 #include <memory>
 #include <unordered_map>
 
@@ -18,57 +18,68 @@
 class ServerModel {
  public:
   struct Shape {
-    int cores = 2, slots = 16, room = 32;
-    double initial_capacity = 1,
-           slow_start_duration = 0;  // cold: from this part of its speed to all of it in so many s
+    int cores = 2;                   ///< shared by the requests that run
+    int slots = 16;                  ///< requests that run at once
+    int queue_limit = 32;            ///< requests that wait for a slot
+    double initial_capacity = 1;     ///< the part of its speed that it starts with
+    double slow_start_duration = 0;  ///< s until it has all of its speed
   };
-  enum class End { kServed, kFailed, kTurnedAway, kOver };
-  using Done = std::function<void(End)>;
-  using Number = std::uint64_t;
+  enum class Outcome {
+    kServed,
+    kFailed,
+    kRejected,  ///< not processed: the queue is full
+    kExpired    ///< its deadline passed while it waited in the queue
+  };
+  using OnEnd = std::function<void(Outcome)>;
+  using JobId = std::uint64_t;
 
   ServerModel(boost::asio::io_context& io, const node::Clock& clock, const Shape& shape);
   ~ServerModel();
   ServerModel(const ServerModel&) = delete;
   ServerModel& operator=(const ServerModel&) = delete;
 
-  // Takes a request of `work` s of one core that is over at `until`. `done` is called at most once, and never
-  // from within; not after withdraw() or stop().
-  Number begin(double work, double until, Done done);
-  // Its caller has gone: one that waits never runs; what runs already runs to its end for nobody.
-  void withdraw(Number number);
+  /// Takes a request.
+  /// @param work s of one core
+  /// @param deadline s on the lab's clock, past which it is not begun
+  /// @param on_end called at most once, never from within, and not after cancel() or stop()
+  JobId begin(double work, double deadline, OnEnd on_end);
+  /// The client has disconnected: a queued request never runs; one that runs ends for nobody.
+  void cancel(JobId job_id);
 
-  void set_hanging(bool hanging) { hanging_ = hanging; }
-  void set_failing(bool failing) { failing_ = failing; }
-  void set_speed(double speed) { speed_ = speed; }
-  // Its process is gone, with all that it had.
+  void set_hanging(bool is_hanging) { is_hanging_ = is_hanging; }
+  void set_failing(bool is_failing) { is_failing_ = is_failing; }
+  /// @param factor of the usual speed
+  void set_speed(double factor) { speed_ = factor; }
+  /// The process is gone, with all its requests.
   void stop();
-  // A new process, cold; well again.
+  /// A new process, in slow start and without faults.
   void start();
 
   std::size_t running() const { return running_; }
-  double work_done() const { return work_done_; }  // s of one core
+  double work_done() const { return work_done_; }  ///< s of one core
 
  private:
   struct Job {
-    double work = 0, until = 0;
-    Done done;
-    std::unique_ptr<boost::asio::steady_timer> timer;
+    double work = 0, deadline = 0;
+    OnEnd on_end;
+    std::unique_ptr<boost::asio::steady_timer> timer;  // empty while it waits in the queue or hangs
   };
-  double speed_now() const;
-  void run(Number number);
-  void finish(Number number);
-  void end_later(Number number, End end);
-  void run_waiting();
+  double current_speed() const;
+  void run(JobId job_id);
+  void finish(JobId job_id);
+  void end_soon(JobId job_id, Outcome outcome);
+  void run_queued();
 
   boost::asio::io_context& io_;
   const node::Clock& clock_;
   Shape shape_;
-  std::unordered_map<Number, Job> jobs_;  // all that were begun and have not ended
-  std::deque<Number> waiting_;
+  std::unordered_map<JobId, Job> jobs_;  // all that were begun and have not ended
+  std::deque<JobId> queue_;
   std::size_t running_ = 0;
-  Number next_ = 0;
-  bool hanging_ = false, failing_ = false;
-  double speed_ = 1, cold_since_ = -1, work_done_ = 0;
+  JobId last_job_id_ = 0;
+  bool is_hanging_ = false, is_failing_ = false;
+  double speed_ = 1, work_done_ = 0;
+  double slow_start_since_ = -1;  // s on the lab's clock; below 0: it was never started anew
 };
 
 }  // namespace nettleyoke::lab
--- a/lab/stand_ins/server_stand_in.h
+++ b/lab/stand_ins/server_stand_in.h
@@ -1,5 +1,6 @@
-// A server on loopback, as PROTOCOL has it: a ServerModel behind HTTP, with kept connections. Where there is
-// a further tier it answers by a call through the node beside it.
+/// @file
+/// A server on loopback, as PROTOCOL has it: a ServerModel behind HTTP, with connections that are kept alive.
+/// Where there is a further tier it answers by a call through the node beside it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,10 +11,12 @@
 #include <memory>
 #include <set>
 #include <string>
+#include <vector>
 
 #include "checks/invariant_checker.h"
 #include "load/http_client.h"
 #include "load/random_stream.h"
+#include "net/loopback.h"
 #include "stand_ins/server_model.h"
 
 namespace nettleyoke::lab {
@@ -21,74 +24,76 @@
 class ServerStandIn {
  public:
   struct Limits {
-    std::size_t connections = 256;    // beyond these, requests are turned away
-    double server_idle_timeout = 30;  // s
+    std::size_t connections = 256;  ///< beyond these, requests are rejected unprocessed
+    double idle_timeout = 30;       ///< s until an idle connection is closed
   };
-  // Calls that servers of one tier make to the next. `node`: the one beside this server.
-  struct Next {
-    Client* client = nullptr;
-    std::size_t node = 0;
+  /// The way to the next tier, where there is one.
+  struct NextTier {
+    HttpClient* client = nullptr;
+    std::size_t node = 0;  ///< the number of the node beside this server
   };
-  // Whether a cut lies between a node and this server: what is sent then is lost on the way.
-  using Unreachable = std::function<bool(std::size_t node)>;
+  /// Whether a partition lies between a node and this server: what is sent then is lost on the way.
+  using IsPartitioned = std::function<bool(std::size_t node)>;
+  using DirectAttemptId = std::uint64_t;
 
-  ServerStandIn(boost::asio::io_context& io, const node::Clock& clock, Audit& audit, const std::string& name,
-                const ServerModel::Shape& shape, const Limits& limits, const std::vector<ClassPlan>& classes,
-                std::uint64_t seed);
+  ServerStandIn(boost::asio::io_context& io, const node::Clock& clock, InvariantChecker& checker,
+                const std::string& name, const ServerModel::Shape& shape, const Limits& limits,
+                const std::vector<ClassSpec>& classes, std::uint64_t seed);
   ~ServerStandIn();
   ServerStandIn(const ServerStandIn&) = delete;
   ServerStandIn& operator=(const ServerStandIn&) = delete;
 
-  bool is_up() const { return acceptor_.is_open(); }
-  std::string address() const;  // changes with each start
-  std::size_t number() const { return number_; }
+  bool is_up() const { return listener_.is_open(); }
+  std::string address() const;                    ///< another one with each start
+  std::size_t number() const { return number_; }  ///< in the checker
   const std::string& name() const { return name_; }
   ServerModel& model() { return model_; }
-  std::size_t connections_accepted() const { return accepted_; }
+  std::size_t connections_accepted() const { return connections_accepted_; }
 
-  void set_next(const Next& next) { next_ = next; }
-  void set_unreachable(Unreachable unreachable) { unreachable_ = std::move(unreachable); }
-  // A call that comes by no connection, from a hollow node: `done` is called once, and never from within,
-  // unless the node gives it up before. The server is up.
-  using DirectNumber = std::uint64_t;
-  DirectNumber begin_direct(const std::string& id, std::size_t node, std::size_t request_class, double left,
-                            std::function<void(AttemptEnd)> done);
-  void give_up_direct(DirectNumber number);
+  void set_next_tier(const NextTier& next_tier) { next_tier_ = next_tier; }
+  void set_is_partitioned(IsPartitioned is_partitioned) { is_partitioned_ = std::move(is_partitioned); }
 
-  // Its process dies: connections are reset, dials refused.
+  /// Starts an attempt that comes by no connection, from a hollow node. The server is up.
+  /// @param time_left s until its deadline
+  /// @param on_end called once, never from within, unless the attempt is cancelled before
+  DirectAttemptId start_direct(const std::string& id, std::size_t node, std::size_t request_class,
+                               double time_left, std::function<void(AttemptOutcome)> on_end);
+  void cancel_direct(DirectAttemptId attempt_id);
+
+  /// The process dies: connections are reset, new ones refused.
   void crash();
-  // A new process at a new address.
+  /// Starts a new process at a new address.
   void start();
 
  private:
-  class ClientConnection;
-  struct Direct {
+  class Connection;
+  struct DirectAttempt {
     std::string id;
-    Audit::AttemptNumber attempt = 0;
-    ServerModel::Number job = 0;
-    std::function<void(AttemptEnd)> done;
-    std::shared_ptr<bool> is_open = std::make_shared<bool>(true);
+    InvariantChecker::AttemptIndex index = 0;
+    ServerModel::JobId job_id = 0;
+    std::function<void(AttemptOutcome)> on_end;
+    std::shared_ptr<bool> is_connected = std::make_shared<bool>(true);
   };
-  void end_direct(DirectNumber number, AttemptEnd how);
+  void end_direct(DirectAttemptId attempt_id, AttemptOutcome outcome);
   void listen();
-  void accept();
+  double draw_work(std::size_t request_class);
 
   boost::asio::io_context& io_;
   const node::Clock& clock_;
-  Audit& audit_;
+  InvariantChecker& checker_;
   std::string name_;
   std::size_t number_;
   ServerModel model_;
   Limits limits_;
-  std::vector<ClassPlan> classes_;
-  Draws draws_;
-  Next next_;
-  Unreachable unreachable_;
-  boost::asio::ip::tcp::acceptor acceptor_;
-  std::set<std::shared_ptr<ClientConnection>> sessions_;
-  std::map<DirectNumber, Direct> direct_;
-  DirectNumber last_direct_ = 0;
-  std::size_t accepted_ = 0;
+  std::vector<ClassSpec> classes_;
+  RandomStream random_;
+  NextTier next_tier_;
+  IsPartitioned is_partitioned_;
+  net::LoopbackListener listener_;
+  std::set<std::shared_ptr<Connection>> connections_;
+  std::map<DirectAttemptId, DirectAttempt> direct_attempts_;
+  DirectAttemptId last_direct_attempt_ = 0;
+  std::size_t connections_accepted_ = 0;
 };
 
 }  // namespace nettleyoke::lab
--- /dev/null
+++ b/tests/lab/experiment_reader_test.cpp
@@ -0,0 +1,71 @@
+// Experiment files: errors name file, line and field.
+#include "run/experiment_reader.h"
+
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <cstdio>
+#include <fstream>
+
+namespace nettleyoke::lab {
+namespace {
+
+constexpr const char* kGoodFile = R"(seconds = 1.0
+[[class]]
+name = "look"
+effect = "safe"
+aim = 0.5
+give_up = 1.0
+work_ms = 1.0
+[[servers]]
+count = 2
+[[callers]]
+per_second = 10.0
+)";
+
+// What is wrong with an experiment of this text, less the file's name.
+std::string error_of(const std::string& text) {
+  const std::string path = testing::TempDir() + "/experiment_" + std::to_string(getpid()) + ".toml";
+  std::ofstream(path) << text;
+  std::string error;
+  try {
+    static_cast<void>(read_experiment(path));
+  } catch (const ExperimentError& problem) {
+    error = problem.what();
+    EXPECT_EQ(error.compare(0, path.size(), path), 0) << error;
+    error.erase(0, path.size());
+  }
+  std::remove(path.c_str());
+  return error;
+}
+
+TEST(ExperimentReader, FileHasAnError_ErrorNamesItsLineAndField) {
+  const std::string good = kGoodFile;
+  EXPECT_EQ(error_of(good), "");
+  EXPECT_EQ(error_of("seconds = 1.0 2"), ":1: " + error_of("seconds = 1.0 2").substr(4));
+  EXPECT_EQ(error_of("seconds = \"long\"\n"), ":1: seconds is not a number from 0.1 to 600");
+  EXPECT_EQ(error_of(good + "retires = 2\n"), ":12: callers.retires is not a field that is known here");
+  EXPECT_EQ(error_of(good + "zone = \"b\"\n"), ":12: callers.zone is not a zone of [nodes] zones");
+  EXPECT_EQ(error_of(good + "[[change]]\nat = 0.5\nkind = \"hang\"\nserver = \"s2\"\n"),
+            ":15: change.server is not a server (s0, s1 ..., in tier 1 t1-s0 ...)");
+  EXPECT_EQ(error_of(good + "[[change]]\nat = 2.0\nkind = \"reset\"\n"),
+            ":13: change.at is not a number from 0 to 1");
+  EXPECT_EQ(error_of(good + "[[servers]]\ncount = 1\ntier = 2\n"),
+            ":8: servers is not servers of tier 0, 1 ... with no tier left out");
+  EXPECT_EQ(error_of(good + "[nodes]\ncount = 0\n"), ":13: nodes.count is not at least 1, where hollow is 0");
+}
+
+TEST(ExperimentReader, FaultOfEachWord_KeepsItsWordInResults) {
+  const std::string words = fault_words();
+  EXPECT_EQ(words, "hang, slow, fail, mend, crash, start, drain, remove, silence, reset, stall, late, cut");
+  for (const char* word : {"hang", "slow", "fail", "mend", "crash", "start", "drain", "remove", "silence",
+                           "reset", "stall", "late", "cut"}) {
+    const auto kind = fault_kind_for(word);
+    ASSERT_TRUE(kind) << word;
+    EXPECT_STREQ(word_for(*kind), word);
+  }
+  EXPECT_FALSE(fault_kind_for("explode"));
+}
+
+}  // namespace
+}  // namespace nettleyoke::lab
--- a/tests/lab/lab_harness.h
+++ b/tests/lab/lab_harness.h
@@ -1,17 +1,22 @@
-// An event loop beside the test, for the lab's stand-ins.
+/// @file
+/// What tests of the lab share: an event loop beside the test, specs, and a server and an agent on loopback.
 #pragma once
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
 #include <future>
+#include <string>
 #include <thread>
 
+#include "checks/invariant_checker.h"
+#include "clock.h"
 #include "node_harness.h"
+#include "run/experiment.h"
 
 namespace nettleyoke::lab {
 
-// Runs an event loop beside the test, from start() on; what it serves is made before and goes after.
+/// Runs an event loop beside the test, from start() on; what it serves is made before and destroyed after.
 class Loop {
  public:
   ~Loop() { stop(); }
@@ -19,12 +24,12 @@
   void start() {
     thread_ = std::thread([this] { io_.run(); });
   }
-  // In the loop's own thread, and done once this returns.
-  template <typename What>
-  void in_loop(What what) {
+  /// Calls `action` in the loop's own thread and returns once it is done.
+  template <typename Action>
+  void in_loop(Action action) {
     std::promise<void> done;
     boost::asio::post(io_, [&] {
-      what();
+      action();
       done.set_value();
     });
     done.get_future().wait();
@@ -40,4 +45,42 @@
   std::thread thread_;
 };
 
+/// A class whose requests take next to no work.
+inline ClassSpec class_spec(Idempotency idempotency) {
+  ClassSpec spec;
+  spec.name = "look";
+  spec.idempotency = idempotency;
+  spec.client_timeout = 2;
+  spec.dedup_window = 1;
+  spec.work = 0.0001;
+  return spec;
+}
+
+/// Half a second of answer slack and of drain grace, no hedging.
+inline InvariantChecker::Rules strict_rules(std::vector<ClassSpec> classes) {
+  return {0.5, 0.5, false, std::move(classes)};
+}
+
+/// What comes up to and with `last`; empty where the connection ends before.
+inline std::string read_until(node::Wire& wire, const std::string& last) {
+  std::string text;
+  while (text.find(last) == std::string::npos) {
+    const std::string more = wire.read_some();
+    if (more.empty()) return {};
+    text += more;
+  }
+  return text;
+}
+
+/// A checker with one node and an event loop, for a stand-in that a test drives over sockets.
+struct StandInTest : testing::Test {
+  node::Clock clock;
+  InvariantChecker checker{strict_rules({class_spec(Idempotency::kIdempotent)})};
+  std::size_t node_number = checker.add_node("n0");
+  Loop loop;
+
+  void SetUp() override { loop.start(); }
+  void TearDown() override { loop.stop(); }
+};
+
 }  // namespace nettleyoke::lab
--- a/tests/lab/lab_program_test.cpp
+++ b/tests/lab/lab_program_test.cpp
@@ -1,10 +1,10 @@
-// The lab's program, on real nodes. Only what no timing moves is looked at.
+// The lab's program, on real nodes. Only what no timing moves is checked.
 #include <gtest/gtest.h>
-#include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <chrono>
+#include <csignal>
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
@@ -26,10 +26,12 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
+std::string experiment(const std::string& name) { return std::string(EXPERIMENTS) + "/" + name + ".toml"; }
+
 // One run of the program, in a folder of its own that goes with it.
-class Lab {
+class LabProgram {
  public:
-  explicit Lab(const std::vector<std::string>& arguments) {
+  explicit LabProgram(const std::vector<std::string>& arguments) {
     folder_ = fs::path(testing::TempDir()) / ("lab_" + std::to_string(getpid()));
     fs::create_directories(folder_);
     pid_ = ::fork();
@@ -41,22 +43,23 @@
       all.insert(all.end(), arguments.begin(), arguments.end());
       all.insert(all.end(), {"--results", (folder_ / "results").string()});
       std::vector<char*> values;
+      values.reserve(all.size() + 1);
       for (std::string& value : all) values.push_back(value.data());
       values.push_back(nullptr);
       ::execv(LAB_PROGRAM, values.data());
       ::_exit(127);
     }
   }
-  ~Lab() {
+  ~LabProgram() {
     if (pid_ > 0) ::kill(pid_, SIGKILL);
     if (testing::Test::HasFailure()) std::fputs((text_of(folder_ / "out") + errors()).c_str(), stderr);
     std::error_code ignored;
     fs::remove_all(folder_, ignored);
   }
-  Lab(const Lab&) = delete;
-  Lab& operator=(const Lab&) = delete;
+  LabProgram(const LabProgram&) = delete;
+  LabProgram& operator=(const LabProgram&) = delete;
 
-  int status() {
+  int exit_status() {
     int out = 0;
     ::waitpid(std::exchange(pid_, -1), &out, 0);
     return WIFEXITED(out) ? WEXITSTATUS(out) : -1;
@@ -72,12 +75,12 @@
   }
   // How many processes have their files in its folder.
   int nodes_left() const {
-    int out = 0;
+    int count = 0;
     for (const fs::directory_entry& process : fs::directory_iterator("/proc")) {
-      out +=
+      count +=
           text_of(process.path() / "environ").find("RELAY_CONFIG=" + folder_.string()) != std::string::npos;
     }
-    return out;
+    return count;
   }
 
  private:
@@ -85,18 +88,18 @@
   pid_t pid_ = -1;
 };
 
-TEST(Lab, ABadExperimentEndsItWithStatus2) {
-  Lab lab({"run", "no-such-file.toml"});
-  EXPECT_EQ(lab.status(), 2);
+TEST(LabProgram, BadExperimentFile_ExitStatus2) {
+  LabProgram lab({"run", "no-such-file.toml"});
+  EXPECT_EQ(lab.exit_status(), 2);
   EXPECT_NE(lab.errors().find("no-such-file.toml:1: "), std::string::npos) << lab.errors();
 }
 
-TEST(Lab, ABriefExperimentKeepsTheRules) {
-  const std::string copy = testing::TempDir() + "/lab_copy_" + std::to_string(getpid()) + ".json";
-  Lab lab({"run", EXPERIMENTS "/brief.toml", "--seed", "5", "--json", copy});
-  ASSERT_EQ(lab.status(), 0);
-  EXPECT_EQ(text_of(copy), text_of(lab.folder() / "results" / "brief-5.json"));
-  std::remove(copy.c_str());
+TEST(LabProgram, BriefExperiment_RulesKeptAndResultsWritten) {
+  const std::string second_file = testing::TempDir() + "/lab_json_" + std::to_string(getpid()) + ".json";
+  LabProgram lab({"run", experiment("brief"), "--seed", "5", "--json", second_file});
+  ASSERT_EQ(lab.exit_status(), 0);
+  EXPECT_EQ(text_of(second_file), text_of(lab.folder() / "results" / "brief-5.json"));
+  std::remove(second_file.c_str());
   const rapidjson::Document results = lab.results("brief-5");
   ASSERT_TRUE(results.IsObject());
   EXPECT_TRUE(results["good"].GetBool());
@@ -117,9 +120,9 @@
   EXPECT_EQ(lab.nodes_left(), 0);
 }
 
-TEST(Lab, ServersAnswerWithACallOfTheNextTier) {
-  Lab lab({"run", EXPERIMENTS "/brief-tiers.toml"});
-  ASSERT_EQ(lab.status(), 0);
+TEST(LabProgram, TwoTiers_ServersAnswerWithACallOfTheNextTier) {
+  LabProgram lab({"run", experiment("brief-tiers")});
+  ASSERT_EQ(lab.exit_status(), 0);
   const rapidjson::Document results = lab.results("brief-tiers-4");
   ASSERT_TRUE(results.IsObject());
   std::uint64_t served[2] = {0, 0};
@@ -131,21 +134,21 @@
   EXPECT_GE(served[1], served[0]);  // what the first tier served had an answer of the second
 }
 
-TEST(Lab, NodesThatDoNotComeUpEndItWithStatus1) {
-  Lab lab({"run", EXPERIMENTS "/brief.toml", "--node", "/bin/false"});
-  EXPECT_EQ(lab.status(), 1);
+TEST(LabProgram, NodesDoNotComeUp_ExitStatus1) {
+  LabProgram lab({"run", experiment("brief"), "--node", "/bin/false"});
+  EXPECT_EQ(lab.exit_status(), 1);
   EXPECT_NE(lab.errors().find("a node ended as it started"), std::string::npos) << lab.errors();
 }
 
-TEST(Lab, OneThatIsCutOffSaysSoAndLeavesNoNode) {
-  Lab lab({"run", EXPERIMENTS "/first.toml"});
+TEST(LabProgram, Running_Terminated_ExitStatus130PartialResultsAndNoNodeLeft) {
+  LabProgram lab({"run", experiment("first")});
   for (const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
        lab.errors().find("\"calls\"") == std::string::npos && std::chrono::steady_clock::now() < until;) {
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
   EXPECT_EQ(lab.nodes_left(), 2);
   lab.signal(SIGTERM);
-  EXPECT_EQ(lab.status(), 130);
+  EXPECT_EQ(lab.exit_status(), 130);
   EXPECT_EQ(lab.nodes_left(), 0);
   const rapidjson::Document results = lab.results("first-7");
   ASSERT_TRUE(results.IsObject());
--- /dev/null
+++ b/tests/lab/server_model_test.cpp
@@ -0,0 +1,47 @@
+// The server's model, without sockets.
+#include "stand_ins/server_model.h"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/io_context.hpp>
+#include <string>
+
+namespace nettleyoke::lab {
+namespace {
+
+const char* word_for(ServerModel::Outcome outcome) {
+  switch (outcome) {
+    case ServerModel::Outcome::kServed:
+      return "served";
+    case ServerModel::Outcome::kFailed:
+      return "failed";
+    case ServerModel::Outcome::kRejected:
+      return "rejected";
+    case ServerModel::Outcome::kExpired:
+      break;
+  }
+  return "expired";
+}
+
+TEST(ServerModel, OneSlotAndAQueue_RequestsBegin_OneRunsTwoWaitTheRestIsRejected) {
+  boost::asio::io_context io;
+  const node::Clock clock;
+  ServerModel model(io, clock, {1, 1, 2, 1, 0});
+  std::string ends;
+  const auto begin = [&](const char* name, double deadline) {
+    return model.begin(0.001, deadline, [&ends, name](ServerModel::Outcome outcome) {
+      ends += std::string(name) + " " + word_for(outcome) + ", ";
+    });
+  };
+  begin("first", 60);
+  begin("second", 0);  // by the time it could run nobody waits for it any more
+  const ServerModel::JobId third = begin("third", 60);
+  begin("fourth", 60);
+  model.cancel(third);
+  io.run();
+  EXPECT_EQ(ends, "fourth rejected, first served, second expired, ");
+  EXPECT_EQ(model.running(), 0U);
+}
+
+}  // namespace
+}  // namespace nettleyoke::lab
