--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -86,7 +86,7 @@
 // The answer time without queues, as a part of the aim: falls soon, rises slowly. Danger: the first answers
 // of a start are those of the quickest calls; a bound learned from them starves the tier.
 struct IdleTime {
-  Estimate usual;
+  Ewma usual;
   double base = kStartBase, at = 0;
   bool learned = false;
   void add(double now, double part_of_aim) {
@@ -111,13 +111,14 @@
   double failing = 0, failing_at = 0;   // failure average and when it was last brought up to date
   int failures_in_row = 0;
   double cold_part = 0, cold_tokens = 0, cold_at = 0;  // cold_part: of the traffic that this copy has
-  FadingRate answered{kAnsweredMemory};
+  DecayingRate answered{kAnsweredMemory};
   IdleTime idle;
-  Estimate recent;  // answer time now, as a part of the aim
+  Ewma recent;  // answer time now, as a part of the aim
   bool slow = false;
   double met_at = 0;
-  double banned_at = -kForever, enabled_at = -kForever;  // by hand: when it was taken out, and put back last
-  Estimate pace{1, 0, 0};                                // answer time against the usual of the same class
+  double banned_at = -kInfinity,
+         enabled_at = -kInfinity;     // by hand: when it was taken out, and put back last
+  Ewma pace{1, 0, 0};                 // answer time against the usual of the same class
   double paced_at = 0, sent_sum = 0;  // sent_sum: over the calls in flight, of when they were sent
 };
 
@@ -172,7 +173,7 @@
     validate(settings);
     settings_ = settings;
     settings_.classes.emplace_back();  // what is out of range lands here: unsafe, no aim of its own
-    settings_.classes.back().client_timeout = settings_.classes.back().latency_objective = kForever;
+    settings_.classes.back().client_timeout = settings_.classes.back().latency_objective = kInfinity;
     settings_.tenants.emplace_back();
     std::vector<std::shared_ptr<ClassState>> classes;
     for (const RequestClass& told : settings_.classes) {
@@ -270,7 +271,7 @@
     } else if (unknown) {
       servers_.emplace_back();
     }
-    if (unknown) servers_[it->second].order = hash_of(told.address);
+    if (unknown) servers_[it->second].order = stable_hash(told.address);
     ServerNode& s = servers_[it->second];
     if (unknown || told.started != s.told.started || s.told.state == ServerState::kRemoved) forget_process(s);
     const auto ban = banned_.find(told.address);
@@ -428,7 +429,7 @@
   // The part of its full capacity that a server is sure to have by now.
   double warmth(const ServerNode& s) const {
     const bool long_ago = s.told.started == 0;
-    if ((long_ago && s.enabled_at == -kForever) || settings_.slow_start_duration <= 0) return 1;
+    if ((long_ago && s.enabled_at == -kInfinity) || settings_.slow_start_duration <= 0) return 1;
     // Danger: a server that was restarted while it was out and is taken to start with the call back gets less
     // than it can do, and the others more, just when the next one is taken out.
     const bool told = !long_ago && s.told.started > s.banned_at;
@@ -444,7 +445,7 @@
     const double warm = warmth(s);
     if (warm >= 1) return true;
     const double topples =
-        settings_.overload_threshold > 0 ? kTipPart * settings_.overload_threshold : kForever;
+        settings_.overload_threshold > 0 ? kTipPart * settings_.overload_threshold : kInfinity;
     const double part = admitted_.at(now_) * s.cold_part * std::min(kColdBudget, topples);
     s.cold_tokens = std::min(1.0 + part * 0.1, s.cold_tokens + (now_ - s.cold_at) * part * warm);
     s.cold_at = now_;
@@ -464,7 +465,7 @@
   // Danger: where calls are few all are idle, and one that was put back by hand would lose each draw until it
   // is warm. Its budget bounds what it gets.
   double busyness(const ServerNode& s) const {
-    const double warm = s.in_flight == 0 && s.enabled_at > -kForever ? 1 : warmth(s);
+    const double warm = s.in_flight == 0 && s.enabled_at > -kInfinity ? 1 : warmth(s);
     const double trust = std::pow(1 - std::min(failing(s), 0.99), kFailPower);
     return (s.in_flight + 1) * pace(s) * (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_cost : 1) /
            (s.told.weight * warm * trust);
@@ -486,7 +487,7 @@
   // would be sent past the window that held when it was decided on.
   std::optional<double> send_within(const Pending& p) const {
     if (p.rules->told.idempotency != Idempotency::kIdempotencyKey || !p.may_have_run()) return std::nullopt;
-    double out = kForever;
+    double out = kInfinity;
     for (const Attempt& a : p.attempts)
       if (a.may_have_run) out = std::min(out, a.sent + p.rules->told.dedup_window - now_);
     return out;
@@ -530,7 +531,7 @@
   // An attempt may run until the answer is worthless, or until it is clearly late while another can follow.
   double timeout(const Pending& p) const {
     const double left = p.useful_until - now_;
-    const Estimate& usual = p.rules->latency;
+    const Ewma& usual = p.rules->latency;
     const double longest = usual.mean + kDeviations * usual.deviation;
     const bool can_repeat = p.rules->told.idempotency != Idempotency::kNonIdempotent &&
                             p.attempts.size() + 1 < static_cast<std::size_t>(p.rules->max_attempts);
@@ -694,7 +695,7 @@
     const bool was_well = failing(s) < kIll;
     if (r.outcome == Outcome::kCancelled || r.outcome == Outcome::kNotSent) return;
     const bool answered = r.outcome == Outcome::kSucceeded;
-    Estimate& latency = p.rules->latency;
+    Ewma& latency = p.rules->latency;
     // Danger: a time-out that the caller cut short tells of the caller. At the mean a good server is late
     // half of the time, a deviation past it seldom.
     const double past = (r.elapsed - latency.mean) / std::max(1e-9, latency.deviation);
@@ -819,16 +820,16 @@
   }
 
   Settings settings_;
-  Random random_;
+  RandomSource random_;
   double now_ = 0;
   std::vector<Action>* out_ = nullptr;
   std::vector<std::shared_ptr<TenantState>> tenants_;
   std::vector<std::shared_ptr<ClassState>> classes_;
-  Estimate aim_;                                  // of the calls that come
-  Estimate usual_{1, 0, 0};                       // s; answer time over all servers and classes
-  IdleTime idle_;                                 // of the tier
-  Estimate recent_;                               // answer time now, as a part of the aim
-  double knee_ = kForever, knee_at_ = -kForever;  // calls in flight at which servers began to slow down
+  Ewma aim_;                                        // of the calls that come
+  Ewma usual_{1, 0, 0};                             // s; answer time over all servers and classes
+  IdleTime idle_;                                   // of the tier
+  Ewma recent_;                                     // answer time now, as a part of the aim
+  double knee_ = kInfinity, knee_at_ = -kInfinity;  // calls in flight at which servers began to slow down
   std::vector<ServerNode> servers_;
   std::unordered_map<std::string, std::size_t> by_address_;
   std::vector<std::size_t> unused_;                 // places of servers that were forgotten
@@ -836,12 +837,12 @@
   std::vector<std::size_t> ring_, subset_, choice_;
   std::size_t usual_size_ = 0;  // of the subset, without extra members
   double sharers_ = 1;          // copies that use the same server
-  FadingRate admitted_{kAdmittedMemory}, answered_{kAnsweredMemory};
+  DecayingRate admitted_{kAdmittedMemory}, answered_{kAnsweredMemory};
   int in_flight_ = 0;
-  double met_at_ = kForever;
+  double met_at_ = kInfinity;
   std::uint64_t listing_ = 0;
   double retry_tokens_ = kRetryBurst;
-  double rewatch_ = kRewatch, asked_at_ = -kForever;
+  double rewatch_ = kRewatch, asked_at_ = -kInfinity;
   std::uint64_t watch_timer_ = 0;  // the last one set: others, from before a reload, would be more calls
   int denied_ = 0, unplaced_ = 0;  // since the last log line
   double next_log_ = 0;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,10 +1,10 @@
 // Which settings can be used at all.
+#include "nettleyoke/settings.h"
+
 #include <cmath>
 #include <stdexcept>
 #include <string>
 
-#include "support.h"
-
 namespace nettleyoke {
 namespace {
 
--- /dev/null
+++ b/src/statistics/decaying_rate.h
@@ -0,0 +1,32 @@
+/// @file
+/// A rate of events that forgets exponentially.
+#pragma once
+
+#include <cmath>
+
+namespace nettleyoke {
+
+/// Events per second, smoothed over the last seconds. Owns the rate and the time of the last event.
+class DecayingRate {
+ public:
+  /// @param time_constant_s Seconds after which an event counts for 1/e of its first weight.
+  explicit DecayingRate(double time_constant_s) : time_constant_s_(time_constant_s) {}
+
+  /// Events per second.
+  [[nodiscard]] double at(double now) const {
+    return rate_ == 0 ? 0 : rate_ * std::exp((last_event_at_ - now) / time_constant_s_);
+  }
+
+  /// Counts one event.
+  void add(double now) {
+    rate_ = at(now) + 1 / time_constant_s_;
+    last_event_at_ = now;
+  }
+
+ private:
+  double time_constant_s_;
+  double rate_ = 0;
+  double last_event_at_ = 0;
+};
+
+}  // namespace nettleyoke
--- a/tests/unit/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "balancer_harness.h"
-#include "support.h"
+#include "statistics/random_source.h"
 
 namespace nettleyoke {
 namespace {
@@ -191,7 +191,7 @@
   }
 
   Chain chain_;
-  Random draws_;
+  RandomSource draws_;
   std::priority_queue<Planned> planned_;
   std::uint64_t order_ = 0;
   double now_ = 0;
--- a/tests/unit/fleet_slow_start_test.cpp
+++ b/tests/unit/fleet_slow_start_test.cpp
@@ -13,7 +13,7 @@
 
 #include "balancer_harness.h"
 #include "settings_reader.h"
-#include "support.h"
+#include "statistics/random_source.h"
 
 namespace nettleyoke {
 namespace {
@@ -173,7 +173,7 @@
   }
 
   Play play_;
-  Random random_;
+  RandomSource random_;
   std::vector<Node> nodes_;
   std::vector<double> shares_;
   std::vector<std::unique_ptr<Copy>> copies_;
