--- /dev/null
+++ b/src/admission/load_shedding_log.cpp
@@ -0,0 +1,21 @@
+#include "admission/load_shedding_log.h"
+
+namespace nettleyoke {
+namespace {
+
+constexpr double kMinSecondsBetweenLines = 10;
+
+}  // namespace
+
+std::optional<std::string> LoadSheddingLog::note(double now, ShedReason reason) {
+  if (throttled_ + no_capacity_ == 0) next_line_at_ = now + kMinSecondsBetweenLines;
+  ++(reason == ShedReason::kThrottled ? throttled_ : no_capacity_);
+  if (now < next_line_at_) return std::nullopt;
+  std::string line = "load shedding: " + std::to_string(throttled_) + " over their tenant's rate limit, " +
+                     std::to_string(no_capacity_) + " without a server with capacity";
+  throttled_ = 0;
+  no_capacity_ = 0;
+  return line;
+}
+
+}  // namespace nettleyoke
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -8,6 +8,8 @@
 #include <unordered_map>
 #include <utility>
 
+#include "admission/load_shedding_log.h"
+#include "admission/tenant_table.h"
 #include "support.h"
 
 namespace nettleyoke {
@@ -15,17 +17,7 @@
 
 // ---------------------------------------------------------------- constants
 
-constexpr double kBucket = 0.1;     // s; grain of the sliding window, a tenth of the short rate's second
-constexpr int kWindowBuckets = 40;  // 4 s: a copy that sees a call a second has some calls to judge by
-constexpr double kWindow = kBucket * kWindowBuckets;
-constexpr double kHardLimitFactor = 20;  // denied calls count too: below real floods nothing is denied whole
-constexpr double kFactorCache = 0.1;     // s; as in the source
-constexpr double kNoise = 1.5;           // standard deviations of a count that a bound leaves to chance
-constexpr double kStartShare = 1.5;      // x a copy's part of the allowance; a generous start of a limit
-constexpr double kFloor = 1;  // x the same; floor of a limit: the tier can do more than all shares together
-constexpr double kDeepFloor = 6;  // x the same; a limit's floor past tier 0: a refusal wastes the work above
-constexpr double kStep = 0.4, kMostStep = 0.1;  // calls/s, and of the limit: what a bad end takes off at most
-constexpr double kBadShare = 0.25;              // bad ends for a good one at which a limit stays where it is
+constexpr double kNoise = 1.5;   // standard deviations of a count that a bound leaves to chance
 constexpr double kInTime = 0.6;  // of the aim; slower answers tell of queues before the aim is missed
 
 constexpr std::size_t kSubset = 5;     // servers at least; enough spread, few connections
@@ -76,7 +68,6 @@
 constexpr double kRetryBurst = 6;  // further attempts saved up at most: failures come in clusters
 constexpr double kRewatch = 0.3;   // s; first wait before asking for the members again, then doubled
 constexpr double kAskApart = 4;    // s; between the starts of two calls that fail, at most
-constexpr double kLogPeriod = 10;  // s; least time between two log lines of a kind
 
 // Which outcomes prove that an attempt never ran. Danger: taking an unknown end for harmless repeats effects.
 bool never_ran(Outcome outcome) {
@@ -124,11 +115,6 @@
 
 }  // namespace
 
-double suppression_factor(double rate_limit, double window_rate, double last_second_rate) {
-  const double perceived = std::max(window_rate, last_second_rate);
-  return perceived <= 0 ? 0 : std::clamp(1 - rate_limit / perceived, 0.0, 1.0);
-}
-
 // Evenly spaced starts on a ring: any two servers differ by at most one in how many copies use them, and a
 // server that leaves moves each start by one place at most.
 std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
@@ -161,11 +147,7 @@
     }));
   }
 
-  TenantStatistics view(double now, std::size_t tenant) const {
-    const TenantState& t = *tenants_[std::min(tenant, tenants_.size() - 1)];
-    const SlidingWindow::Sums sums = t.window.sums(now);
-    return {t.limit, factor_of(t, sums), sums.total, sums.declined};
-  }
+  TenantStatistics view(double now, std::size_t tenant) const { return tenants_.at(tenant)->statistics(now); }
 
  private:
   // Takes settings over: at the start, and when they are replaced. Throws before anything is changed.
@@ -174,7 +156,6 @@
     settings_ = settings;
     settings_.classes.emplace_back();  // what is out of range lands here: unsafe, no aim of its own
     settings_.classes.back().client_timeout = settings_.classes.back().latency_objective = kInfinity;
-    settings_.tenants.emplace_back();
     std::vector<std::shared_ptr<ClassState>> classes;
     for (const RequestClass& told : settings_.classes) {
       const double latency_objective = std::min(told.latency_objective, 60.0);
@@ -191,73 +172,7 @@
       classes.push_back(std::make_shared<ClassState>(std::move(fresh)));
     }
     classes_ = std::move(classes);
-    std::vector<std::shared_ptr<TenantState>> tenants;
-    for (const Tenant& told : settings_.tenants) {
-      TenantState fresh = first_limit(told);
-      for (const auto& old : tenants_) {
-        if (told.name.empty() || old->name != told.name) continue;
-        fresh.window = old->window;
-        if (std::isfinite(fresh.limit) && std::isfinite(old->limit))
-          fresh.limit = std::max(fresh.floor, old->limit);
-      }
-      tenants.push_back(std::make_shared<TenantState>(std::move(fresh)));
-    }
-    tenants_ = std::move(tenants);
-  }
-
-  // ---------------------------------------------------------------- admit?
-
-  TenantState first_limit(const Tenant& told) const {
-    TenantState t{told.name, {kBucket, kWindowBuckets, 10}};  // 10: 1000 ms, the short rate of the source
-    if (told.quota) {
-      const double part = *told.quota / settings_.replica_count;
-      t.floor = part * (settings_.tier == 0 ? kFloor : kDeepFloor);
-      t.worth = settings_.over_quota_weight;
-      t.limit = t.start = std::max(t.floor, part * kStartShare + kNoise * std::sqrt(part / kWindow));
-    }
-    return t;
-  }
-
-  static double factor_of(const TenantState& t, const SlidingWindow::Sums& sums) {
-    const double soft = t.limit * kWindow;
-    if (sums.accepted() < soft) return 0;
-    if (sums.total >= soft * kHardLimitFactor) return 1;
-    return suppression_factor(t.limit, sums.total / kWindow, sums.last_second);
-  }
-
-  // The factor is cached as in the source, but for its ends: those are two comparisons.
-  bool admits(TenantState& t) {
-    double factor = factor_of(t, t.window.sums(now_));
-    if (factor > 0 && factor < 1) {
-      if (now_ >= t.factor_until) {
-        t.factor = factor;
-        t.factor_until = now_ + kFactorCache;
-      }
-      factor = t.factor;
-    }
-    const bool admit = factor == 0 || random_.unit() >= factor;
-    t.window.add(now_, !admit);
-    return admit;
-  }
-
-  // Whether the tenant has not had its share of late. Danger: where others flood the tier, what is worth
-  // little takes all the room. Less room for those instead would feed on itself: room is learned from
-  // answers.
-  bool is_within_share(const TenantState& t) const {
-    return settings_.tier == 0 && std::isfinite(t.limit) && t.worth < 1 &&
-           t.window.sums(now_).accepted() <= t.floor * kWindow;
-  }
-
-  // Learns a tenant's limit, a step with each call that ends. Danger: calls end a feedback delay after they
-  // were let in; a second in which all end badly takes kStep of a limit and no more, however high it is.
-  void review(TenantState& t, bool bad) {
-    if (!std::isfinite(t.limit)) return;
-    const double step = std::min(kMostStep, kStep / t.limit);
-    if (bad) {
-      t.limit = std::max(t.floor, t.limit * (1 - step));
-    } else if (t.window.sums(now_).accepted() > t.limit * kWindow / 2) {
-      t.limit *= 1 + step * kBadShare * (t.limit > t.start ? t.worth : 1);
-    }
+    tenants_.replace(settings);
   }
 
   // ---------------------------------------------------------------- who is there?
@@ -596,13 +511,10 @@
     out_->push_back(Reject{id, settings_.max_retry_after / 2});
   }
 
-  void note_shed(int& count) {
-    if (denied_ + unplaced_ == 0) next_log_ = now_ + kLogPeriod;
-    ++count;
-    if (now_ < next_log_) return;
-    out_->push_back(LogLine{"shedding: " + std::to_string(denied_) + " over their tenant's limit, " +
-                            std::to_string(unplaced_) + " without a server with room"});
-    denied_ = unplaced_ = 0;
+  void note_shed(ShedReason reason) {
+    if (const std::optional<std::string> line = load_shedding_log_.note(now_, reason)) {
+      out_->push_back(LogLine{*line});
+    }
   }
 
   void close(std::unordered_map<std::string, Pending>::iterator it) {
@@ -629,11 +541,11 @@
 
   void on(const Request& r) {
     if (pending_.contains(r.id)) return;  // an id that is still open: one answer is owed, not two
-    const std::shared_ptr<TenantState>& tenant = tenants_[std::min(r.tenant, tenants_.size() - 1)];
-    const bool within_share = is_within_share(*tenant);
-    if (!admits(*tenant)) {
+    const std::shared_ptr<TenantRateLimiter>& tenant = tenants_.at(r.tenant);
+    const bool within_share = tenant->is_within_quota(now_);
+    if (!tenant->admit(now_, random_)) {
       out_->push_back(Reject{r.id, settings_.max_retry_after / 2});
-      note_shed(denied_);
+      note_shed(ShedReason::kThrottled);
       return;
     }
     const std::shared_ptr<ClassState>& rules = classes_[std::min(r.request_class, classes_.size() - 1)];
@@ -660,8 +572,8 @@
     p.taken = now_;
     p.coming = r.body_in_progress;
     if (send(r.id, p)) return;
-    review(*tenant, true);
-    note_shed(unplaced_);
+    tenant->on_failure();
+    note_shed(ShedReason::kNoCapacity);
     answer_unserved(r.id, p);
     pending_.erase(it);
   }
@@ -733,7 +645,8 @@
     // Danger: an error or a spoilt answer tells of a server, not of a crowd, and comes at any load.
     const bool crowd = r.outcome == Outcome::kRejected || r.outcome == Outcome::kTimedOut ||
                        r.outcome == Outcome::kConnectFailed;
-    if (answered ? part_of_aim < kInTime : was_well && crowd) review(*p.tenant, !answered);
+    if (answered && part_of_aim < kInTime) p.tenant->on_success(now_);
+    if (!answered && was_well && crowd) p.tenant->on_failure();
   }
 
   void on(const ResponseStarted& r) {
@@ -823,7 +736,8 @@
   RandomSource random_;
   double now_ = 0;
   std::vector<Action>* out_ = nullptr;
-  std::vector<std::shared_ptr<TenantState>> tenants_;
+  TenantTable tenants_;
+  LoadSheddingLog load_shedding_log_;
   std::vector<std::shared_ptr<ClassState>> classes_;
   Ewma aim_;                                        // of the calls that come
   Ewma usual_{1, 0, 0};                             // s; answer time over all servers and classes
@@ -844,8 +758,6 @@
   double retry_tokens_ = kRetryBurst;
   double rewatch_ = kRewatch, asked_at_ = -kInfinity;
   std::uint64_t watch_timer_ = 0;  // the last one set: others, from before a reload, would be more calls
-  int denied_ = 0, unplaced_ = 0;  // since the last log line
-  double next_log_ = 0;
   std::unordered_map<std::string, Pending> pending_;  // looked up, never walked: order would not be stable
 };
 
