--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -10,6 +10,8 @@
 
 #include "admission/load_shedding_log.h"
 #include "admission/tenant_table.h"
+#include "health/outlier_detection.h"
+#include "health/slow_start.h"
 #include "support.h"
 
 namespace nettleyoke {
@@ -23,10 +25,6 @@
 constexpr std::size_t kSubset = 5;     // servers at least; enough spread, few connections
 constexpr std::size_t kCover = 2;      // copies that use each server, at least: few copies have large subsets
 constexpr std::size_t kColdCover = 8;  // the same of a cold one, with extra members: uneven copies even out
-constexpr double kAdmittedMemory = 5;  // s; smoothing of the admitted rate that sizes cold budgets
-constexpr double kColdBudget = 1;      // x a server's part of the traffic, times what it can do so far
-constexpr double kTipPart = 0.5;  // of what topples it, at most; the rest is for bursts, retries and chance
-
 constexpr double kAnsweredMemory = 2;  // s; smoothing of the rate at which a server answers this copy
 constexpr double kQueueFactor = 1.5;   // x the usual answer time of an idle tier; longer queues get no call
 constexpr double kTierFactor = 1.8;    // x the same for all servers together, whose measure is steadier
@@ -50,12 +48,7 @@
 constexpr double kKneeDrop = 0.9;     // x the calls in flight when a server turned slow
 constexpr double kKneeMemory = 40;    // s; how fast the bound rises again
 
-constexpr double kFailGain = 0.3;    // weight of one outcome in a server's failure average
-constexpr double kFailHalfLife = 2;  // s; how fast distrust fades, times the failures in a row
 constexpr double kFailPower = 4;     // how strongly failures make a server look busy
-constexpr double kTrusted = 0.05;    // failure average that counts as none, or a server stays spared for good
-constexpr double kIll = 0.5;         // failure average from which a server is shunned
-
 constexpr double kPaceGain = 0.3;    // weight of one answer in a server's pace
 constexpr double kPaceMemory = 20;   // s; fades to the usual, or a slow server is never met again
 constexpr double kPriceWeight = 50;  // a crossing's price of 0.01 makes a server look half as busy again
@@ -99,16 +92,13 @@
   bool extra = false;                   // in this copy's subset only while it is cold
   int in_flight = 0, named = 0;         // named: by attempts of open requests, ended ones too
   bool forgotten = false;               // its place is free for another
-  double failing = 0, failing_at = 0;   // failure average and when it was last brought up to date
-  int failures_in_row = 0;
-  double cold_part = 0, cold_tokens = 0, cold_at = 0;  // cold_part: of the traffic that this copy has
+  OutlierDetection outlier;
+  SlowStart slow_start;
   DecayingRate answered{kAnsweredMemory};
   IdleTime idle;
   Ewma recent;  // answer time now, as a part of the aim
   bool slow = false;
   double met_at = 0;
-  double banned_at = -kInfinity,
-         enabled_at = -kInfinity;     // by hand: when it was taken out, and put back last
   Ewma pace{1, 0, 0};                 // answer time against the usual of the same class
   double paced_at = 0, sent_sum = 0;  // sent_sum: over the calls in flight, of when they were sent
 };
@@ -143,7 +133,7 @@
 
   std::size_t unavailable_servers(double now) const {
     return static_cast<std::size_t>(std::count_if(servers_.begin(), servers_.end(), [&](const ServerNode& s) {
-      return s.told.state != ServerState::kRemoved && (s.banned || failing(s, now) >= kIll);
+      return s.told.state != ServerState::kRemoved && (s.banned || s.outlier.is_ejected(now));
     }));
   }
 
@@ -154,6 +144,7 @@
   void adopt(const Settings& settings) {
     validate(settings);
     settings_ = settings;
+    slow_start_.configure(settings);
     settings_.classes.emplace_back();  // what is out of range lands here: unsafe, no aim of its own
     settings_.classes.back().client_timeout = settings_.classes.back().latency_objective = kInfinity;
     std::vector<std::shared_ptr<ClassState>> classes;
@@ -191,7 +182,7 @@
     if (unknown || told.started != s.told.started || s.told.state == ServerState::kRemoved) forget_process(s);
     const auto ban = banned_.find(told.address);
     s.banned = ban != banned_.end();
-    if (s.banned) s.banned_at = ban->second;
+    if (s.banned) s.slow_start.on_disabled(ban->second);
     s.told = told;
     s.listed = listing_;
     if (!(s.told.weight > 0)) s.told.weight = 1;
@@ -206,10 +197,9 @@
     fresh.in_flight = s.in_flight;
     fresh.named = s.named;
     fresh.sent_sum = s.sent_sum;
-    fresh.banned_at = s.banned_at;
-    fresh.enabled_at = s.enabled_at;
-    fresh.met_at = fresh.cold_at = now_;
-    fresh.cold_tokens = random_.unit();  // copies hear of a start together and must not send together
+    fresh.met_at = now_;
+    fresh.slow_start = s.slow_start;
+    fresh.slow_start.begin_incarnation(now_, random_.unit());
     s = fresh;
   }
 
@@ -244,7 +234,7 @@
     for (std::size_t i = 0; i < servers_.size(); ++i) {
       if (servers_[i].told.state != ServerState::kReady || servers_[i].banned) continue;
       ring_.push_back(i);
-      servers_[i].cold_part = 0;
+      servers_[i].slow_start.set_traffic_share(0);
       servers_[i].extra = false;
       ready_weight += servers_[i].told.weight;
     }
@@ -258,8 +248,12 @@
     const std::vector<std::size_t> usual = own_part({ring_.begin(), away}, kCover);
     const std::vector<std::size_t> others = own_part({away, ring_.end()}, kCover);
     for (const std::size_t i : subset_) home_weight += servers_[i].told.weight;
-    for (const std::size_t i : subset_) servers_[i].cold_part = servers_[i].told.weight / home_weight;
-    for (const std::size_t i : others) servers_[i].cold_part = servers_[i].told.weight / ready_weight;
+    for (const std::size_t i : subset_) {
+      servers_[i].slow_start.set_traffic_share(servers_[i].told.weight / home_weight);
+    }
+    for (const std::size_t i : others) {
+      servers_[i].slow_start.set_traffic_share(servers_[i].told.weight / ready_weight);
+    }
     for (const std::size_t i : subset_) servers_[i].extra = true;
     for (const std::size_t i : usual) servers_[i].extra = false;
     subset_.insert(subset_.end(), others.begin(), others.end());
@@ -270,23 +264,6 @@
 
   // ---------------------------------------------------------------- is it healthy?
 
-  // The failure average now: it fades, the slower the more failures came in a row.
-  static double failing(const ServerNode& s, double now) {
-    if (s.failing == 0) return 0;
-    const double left =
-        s.failing * std::exp2((s.failing_at - now) / (kFailHalfLife * (1 + s.failures_in_row)));
-    return left < kTrusted ? 0 : left;
-  }
-  double failing(const ServerNode& s) const { return failing(s, now_); }
-
-  // weight: of what it tells, 0 to 1.
-  void note_health(ServerNode& s, bool good, double weight = 1) {
-    if (weight <= 0) return;
-    s.failing = failing(s) + kFailGain * weight * ((good ? 0 : 1) - failing(s));
-    s.failing_at = now_;
-    s.failures_in_row = good ? 0 : std::min(s.failures_in_row + 1, 4);
-  }
-
   // Calls that may be in flight, over all copies, where nothing is measured yet: it fades as answers come.
   double unmeasured_room(double met_at) const {
     return kLeastRoom + kStartRoom * std::exp((met_at - now_) / kAnsweredMemory);
@@ -341,31 +318,7 @@
     return 2 * slower >= measured;
   }
 
-  // The part of its full capacity that a server is sure to have by now.
-  double warmth(const ServerNode& s) const {
-    const bool long_ago = s.told.started == 0;
-    if ((long_ago && s.enabled_at == -kInfinity) || settings_.slow_start_duration <= 0) return 1;
-    // Danger: a server that was restarted while it was out and is taken to start with the call back gets less
-    // than it can do, and the others more, just when the next one is taken out.
-    const bool told = !long_ago && s.told.started > s.banned_at;
-    const double started = told ? s.told.started : s.enabled_at;
-    const double age = std::max(0.0, now_ - started);
-    return std::min(1.0, settings_.initial_capacity +
-                             (1 - settings_.initial_capacity) * age / settings_.slow_start_duration);
-  }
-
-  // Whether a cold server's budget at this copy has room. Danger: all copies together can push a cold server
-  // over; each spends no more than the server's part of its own traffic, scaled to what it can do so far.
-  bool budget_allows(ServerNode& s) {
-    const double warm = warmth(s);
-    if (warm >= 1) return true;
-    const double topples =
-        settings_.overload_threshold > 0 ? kTipPart * settings_.overload_threshold : kInfinity;
-    const double part = admitted_.at(now_) * s.cold_part * std::min(kColdBudget, topples);
-    s.cold_tokens = std::min(1.0 + part * 0.1, s.cold_tokens + (now_ - s.cold_at) * part * warm);
-    s.cold_at = now_;
-    return s.cold_tokens >= 1;
-  }
+  double warmth(const ServerNode& s) const { return slow_start_.factor(now_, s.slow_start, s.told.started); }
 
   // ---------------------------------------------------------------- which server?
 
@@ -380,8 +333,8 @@
   // Danger: where calls are few all are idle, and one that was put back by hand would lose each draw until it
   // is warm. Its budget bounds what it gets.
   double busyness(const ServerNode& s) const {
-    const double warm = s.in_flight == 0 && s.enabled_at > -kInfinity ? 1 : warmth(s);
-    const double trust = std::pow(1 - std::min(failing(s), 0.99), kFailPower);
+    const double warm = s.in_flight == 0 && s.slow_start.was_enabled() ? 1 : warmth(s);
+    const double trust = std::pow(1 - std::min(s.outlier.failure_rate(now_), 0.99), kFailPower);
     return (s.in_flight + 1) * pace(s) * (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_cost : 1) /
            (s.told.weight * warm * trust);
   }
@@ -414,9 +367,10 @@
     choice_.clear();
     for (const std::size_t i : from) {
       ServerNode& s = servers_[i];
-      if ((healthy && failing(s) >= kIll) || (untried && p.tried(i)) || (room && !has_room(p, s))) continue;
+      if ((healthy && s.outlier.is_ejected(now_)) || (untried && p.tried(i)) || (room && !has_room(p, s)))
+        continue;
       if (s.extra && &from == &subset_ && warmth(s) >= 1) continue;
-      if (in_scope(p, s) && budget_allows(s)) choice_.push_back(i);
+      if (in_scope(p, s) && slow_start_.has_token(now_, s.slow_start, s.told.started)) choice_.push_back(i);
     }
     return !choice_.empty();
   }
@@ -478,7 +432,7 @@
     ServerNode& s = servers_[*server];
     const std::optional<double> within = send_within(p);
     retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + (p.attempts.empty() ? kRetryShare : -1));
-    if (warmth(s) < 1) s.cold_tokens -= 1;
+    if (warmth(s) < 1) s.slow_start.take_token();
     s.named += 1;
     p.attempts.push_back({*server, now_});
     // Danger: a body may take seconds to come, or an answer to go. Taken for work the server has in hand, a
@@ -556,7 +510,7 @@
       out_->push_back(Reject{r.id, settings_.max_retry_after / 2});
       return;
     }
-    admitted_.add(now_);
+    slow_start_.record_admitted(now_);
     const auto it = pending_.try_emplace(r.id).first;
     Pending& p = it->second;
     p.tenant = tenant;
@@ -593,7 +547,7 @@
     if (!a.learned) {
       learn_from(p, s, r);
     } else if (r.outcome != Outcome::kSucceeded && r.outcome != Outcome::kCancelled) {
-      note_health(s, false);
+      s.outlier.record(now_, false);
     }
     if (r.request_completed && !p.finished) {
       p.finished = true;
@@ -604,7 +558,7 @@
   }
 
   void learn_from(const Pending& p, ServerNode& s, const AttemptResult& r) {
-    const bool was_well = failing(s) < kIll;
+    const bool was_well = !s.outlier.is_ejected(now_);
     if (r.outcome == Outcome::kCancelled || r.outcome == Outcome::kNotSent) return;
     const bool answered = r.outcome == Outcome::kSucceeded;
     Ewma& latency = p.rules->latency;
@@ -612,7 +566,7 @@
     // half of the time, a deviation past it seldom.
     const double past = (r.elapsed - latency.mean) / std::max(1e-9, latency.deviation);
     const double weight = r.outcome == Outcome::kTimedOut ? std::clamp((past + 1) / 2, 0.0, 1.0) : 1;
-    if (r.outcome != Outcome::kRejected) note_health(s, answered, weight);
+    if (r.outcome != Outcome::kRejected) s.outlier.record(now_, answered, weight);
     const double latency_objective = p.rules->told.latency_objective;
     const double part_of_aim = latency_objective > 0 ? r.elapsed / latency_objective : 0;
     if (answered) {
@@ -712,9 +666,9 @@
     if (at == by_address_.end()) return;
     ServerNode& s = servers_[at->second];
     s.banned = !e.enabled;
-    if (!e.enabled) s.banned_at = now_;
+    if (!e.enabled) s.slow_start.on_disabled(now_);
     if (e.enabled) {
-      s.enabled_at = now_;
+      s.slow_start.on_enabled(now_);
       forget_process(s);
     }
     rebuild_subset();
@@ -751,7 +705,8 @@
   std::vector<std::size_t> ring_, subset_, choice_;
   std::size_t usual_size_ = 0;  // of the subset, without extra members
   double sharers_ = 1;          // copies that use the same server
-  DecayingRate admitted_{kAdmittedMemory}, answered_{kAnsweredMemory};
+  SlowStartPolicy slow_start_;
+  DecayingRate answered_{kAnsweredMemory};
   int in_flight_ = 0;
   double met_at_ = kInfinity;
   std::uint64_t listing_ = 0;
--- /dev/null
+++ b/src/health/slow_start.cpp
@@ -0,0 +1,52 @@
+#include "health/slow_start.h"
+
+#include <algorithm>
+
+namespace nettleyoke {
+namespace {
+
+// What a bucket gets at most, as a multiple of the server's share of the traffic.
+constexpr double kMaxTrafficFactor = 1;
+// Part of the overload threshold that a bucket may fill; the rest is for bursts, retries and chance.
+constexpr double kOverloadThresholdPart = 0.5;
+// What a bucket holds at most beyond one token: this many seconds of the server's share.
+constexpr double kBurstSeconds = 0.1;
+
+}  // namespace
+
+void SlowStart::begin_incarnation(double now, double tokens) {
+  traffic_share_ = 0;
+  tokens_ = tokens;
+  refilled_at_ = now;
+}
+
+void SlowStartPolicy::configure(const Settings& settings) {
+  initial_capacity_ = settings.initial_capacity;
+  duration_s_ = settings.slow_start_duration;
+  const double overload_factor =
+      settings.overload_threshold > 0 ? kOverloadThresholdPart * settings.overload_threshold : kInfinity;
+  max_traffic_factor_ = std::min(kMaxTrafficFactor, overload_factor);
+}
+
+double SlowStartPolicy::factor(double now, const SlowStart& server, double started) const {
+  const bool started_long_ago = started == 0;
+  if ((started_long_ago && !server.was_enabled()) || duration_s_ <= 0) return 1;
+  // A server may be restarted while it is disabled. Taken to have started only when it was enabled, it would
+  // get less than it can do, and the others more, just when the next one is disabled.
+  const bool start_is_advertised = !started_long_ago && started > server.disabled_at_;
+  const double warming_since = start_is_advertised ? started : server.enabled_at_;
+  const double age = std::max(0.0, now - warming_since);
+  return std::min(1.0, initial_capacity_ + (1 - initial_capacity_) * age / duration_s_);
+}
+
+bool SlowStartPolicy::has_token(double now, SlowStart& server, double started) const {
+  const double slow_start_factor = factor(now, server, started);
+  if (slow_start_factor >= 1) return true;
+  const double share_rate = admitted_rate_.at(now) * server.traffic_share_ * max_traffic_factor_;
+  const double refilled = server.tokens_ + (now - server.refilled_at_) * share_rate * slow_start_factor;
+  server.tokens_ = std::min(1.0 + share_rate * kBurstSeconds, refilled);
+  server.refilled_at_ = now;
+  return server.tokens_ >= 1;
+}
+
+}  // namespace nettleyoke
