--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -10,6 +10,8 @@
 
 #include "admission/load_shedding_log.h"
 #include "admission/tenant_table.h"
+#include "capacity/concurrency_limits.h"
+#include "capacity/in_flight_load.h"
 #include "health/outlier_detection.h"
 #include "health/slow_start.h"
 #include "support.h"
@@ -19,39 +21,15 @@
 
 // ---------------------------------------------------------------- constants
 
-constexpr double kNoise = 1.5;   // standard deviations of a count that a bound leaves to chance
 constexpr double kInTime = 0.6;  // of the aim; slower answers tell of queues before the aim is missed
 
 constexpr std::size_t kSubset = 5;     // servers at least; enough spread, few connections
 constexpr std::size_t kCover = 2;      // copies that use each server, at least: few copies have large subsets
 constexpr std::size_t kColdCover = 8;  // the same of a cold one, with extra members: uneven copies even out
-constexpr double kAnsweredMemory = 2;  // s; smoothing of the rate at which a server answers this copy
-constexpr double kQueueFactor = 1.5;   // x the usual answer time of an idle tier; longer queues get no call
-constexpr double kTierFactor = 1.8;    // x the same for all servers together, whose measure is steadier
-constexpr double kCalm = 0.45, kCrowded = 0.7;  // of the aim; answer times that leave chance all, no room
-constexpr double kChance = 2;        // calls; what a copy may hold by chance, beside the deviations
-constexpr double kStartBase = 0.15;  // of the aim; taken for the usual answer time until it is learned
-constexpr double kMostBase = 0.3;    // of the aim; a start under load takes no queue for usual
-constexpr double kBaseCalls = 20;    // calls; answers before the usual answer time counts as learned
-constexpr double kBaseSettle = 3;    // s; before it the answers are those of the quickest calls only
-constexpr double kBaseGain = 0.02;   // weight of one answer
-constexpr double kBaseFall = 5, kBaseRise = 60;  // s; how fast a quicker, and a slower, tier becomes usual
-constexpr double kShareRoom = 1.3;               // x the room, for calls within their tenant's share
-constexpr double kLeastRoom = 2;  // calls in flight, over all copies, that any server has room for
-constexpr double kStartRoom = 6;  // and more at one that has had no time to answer; fades as answers come
-
-constexpr double kSlow = 2.2;         // x its own idle answer time: a server has turned slow
-constexpr double kMostSlow = 3;       // x the same; a single answer tells of no more than that
-constexpr double kRecovered = 1.3;    // x its own idle answer time: it is no longer slow
-constexpr double kRecentGain = 0.15;  // weight of one answer in what a server does now
-constexpr double kKneePause = 2;      // s; servers that turn slow together tell of one crowd
-constexpr double kKneeDrop = 0.9;     // x the calls in flight when a server turned slow
-constexpr double kKneeMemory = 40;    // s; how fast the bound rises again
-
-constexpr double kFailPower = 4;     // how strongly failures make a server look busy
-constexpr double kPaceGain = 0.3;    // weight of one answer in a server's pace
-constexpr double kPaceMemory = 20;   // s; fades to the usual, or a slow server is never met again
-constexpr double kPriceWeight = 50;  // a crossing's price of 0.01 makes a server look half as busy again
+constexpr double kFailPower = 4;       // how strongly failures make a server look busy
+constexpr double kPaceGain = 0.3;      // weight of one answer in a server's pace
+constexpr double kPaceMemory = 20;     // s; fades to the usual, or a slow server is never met again
+constexpr double kPriceWeight = 50;    // a crossing's price of 0.01 makes a server look half as busy again
 
 constexpr double kLatencyGain = 0.05;  // weight of one sample in the latency estimates
 constexpr double kDeviations = 6;      // deviations over the mean before an attempt is given up
@@ -67,40 +45,19 @@
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
-// The answer time without queues, as a part of the aim: falls soon, rises slowly. Danger: the first answers
-// of a start are those of the quickest calls; a bound learned from them starves the tier.
-struct IdleTime {
-  Ewma usual;
-  double base = kStartBase, at = 0;
-  bool learned = false;
-  void add(double now, double part_of_aim) {
-    if (usual.samples == 0) at = now + kBaseSettle;
-    usual.add(part_of_aim, kBaseGain);
-    if (now < at || usual.samples < kBaseCalls) return;
-    if (!learned) base = usual.mean;
-    const double step = (now - at) / (usual.mean < base ? kBaseFall : kBaseRise);
-    base = std::min(base + (usual.mean - base) * std::min(1.0, step), kMostBase);
-    learned = true;
-    at = now;
-  }
-};
-
 struct ServerNode {
   Server told;
   std::uint64_t order = 0, listed = 0;  // listed: in which membership update it was told last
   bool banned = false;                  // taken out by hand
   bool extra = false;                   // in this copy's subset only while it is cold
-  int in_flight = 0, named = 0;         // named: by attempts of open requests, ended ones too
-  bool forgotten = false;               // its place is free for another
+  InFlightLoad in_flight;
+  int named = 0;           // by attempts of open requests, ended ones too
+  bool forgotten = false;  // its place is free for another
   OutlierDetection outlier;
   SlowStart slow_start;
-  DecayingRate answered{kAnsweredMemory};
-  IdleTime idle;
-  Ewma recent;  // answer time now, as a part of the aim
-  bool slow = false;
-  double met_at = 0;
-  Ewma pace{1, 0, 0};                 // answer time against the usual of the same class
-  double paced_at = 0, sent_sum = 0;  // sent_sum: over the calls in flight, of when they were sent
+  ServerConcurrencyLimit capacity;
+  Ewma pace{1, 0, 0};  // answer time against the usual of the same class
+  double paced_at = 0;
 };
 
 }  // namespace
@@ -120,7 +77,7 @@
  public:
   Impl(const Settings& settings, std::uint64_t seed) : random_(seed) {
     adopt(settings);
-    for (const RequestClass& c : settings.classes) aim_.add(c.latency_objective, 0);
+    for (const RequestClass& c : settings.classes) tier_limit_.assume_objective(c.latency_objective);
   }
 
   void handle(double now, const Event& event, std::vector<Action>& actions) {
@@ -145,6 +102,7 @@
     validate(settings);
     settings_ = settings;
     slow_start_.configure(settings);
+    tier_limit_.configure(settings);
     settings_.classes.emplace_back();  // what is out of range lands here: unsafe, no aim of its own
     settings_.classes.back().client_timeout = settings_.classes.back().latency_objective = kInfinity;
     std::vector<std::shared_ptr<ClassState>> classes;
@@ -196,8 +154,7 @@
     fresh.listed = s.listed;
     fresh.in_flight = s.in_flight;
     fresh.named = s.named;
-    fresh.sent_sum = s.sent_sum;
-    fresh.met_at = now_;
+    fresh.capacity = ServerConcurrencyLimit(now_);
     fresh.slow_start = s.slow_start;
     fresh.slow_start.begin_incarnation(now_, random_.unit());
     s = fresh;
@@ -258,64 +215,33 @@
     for (const std::size_t i : usual) servers_[i].extra = false;
     subset_.insert(subset_.end(), others.begin(), others.end());
     usual_size_ = usual.size() + others.size();
-    sharers_ = std::max(1.0, static_cast<double>(settings_.replica_count) * static_cast<double>(usual_size_) /
-                                 static_cast<double>(ring_.size()));
+    shape_.members = static_cast<double>(usual_size_);
+    shape_.replicas_per_server = std::max(1.0, static_cast<double>(settings_.replica_count) * shape_.members /
+                                                   static_cast<double>(ring_.size()));
   }
 
   // ---------------------------------------------------------------- is it healthy?
 
-  // Calls that may be in flight, over all copies, where nothing is measured yet: it fades as answers come.
-  double unmeasured_room(double met_at) const {
-    return kLeastRoom + kStartRoom * std::exp((met_at - now_) / kAnsweredMemory);
+  bool has_room(const Pending& p, const ServerNode& s) const {
+    return s.capacity.has_capacity(now_, s.in_flight.count(), tier_limit_.idle_latency_s(), shape_,
+                                   p.within_share);
   }
-  double idle_wait() const { return idle_.base * aim_.mean; }
 
-  // Whether a further call would be answered well before its aim: calls in flight against answers a second.
-  // Danger: a queue longer than the aim feeds itself. One call has room: at many copies each has but a part.
-  bool has_room(const Pending& p, const ServerNode& s) const {
-    const double start = unmeasured_room(s.met_at) / sharers_;
-    const double room = start + kQueueFactor * idle_wait() * s.answered.at(now_);
-    return s.in_flight < std::max(1.0, room * (p.within_share ? kShareRoom : 1));
-  }
-
-  // The same for all servers, by a measure that is steadier; past the first tier nothing is refused for it.
-  bool tier_has_room(const Pending& p) {
-    if (settings_.tier > 0) return true;
-    const double start = unmeasured_room(met_at_) * static_cast<double>(usual_size_) / sharers_;
-    const double waiting = idle_wait() * answered_.at(now_);
-    // Danger: what chance needs at each of many copies is a crowd over all: it is given in calm only.
-    const double calm = std::clamp((kCrowded - recent_.mean) / (kCrowded - kCalm), 0.0, 1.0);
-    const double room = start + kTierFactor * waiting + calm * (kChance + kNoise * std::sqrt(waiting));
-    return in_flight_ + random_.unit() < std::min(knee(), room) * (p.within_share ? kShareRoom : 1);
-  }
-
-  double knee() const { return knee_ * std::exp((now_ - knee_at_) / kKneeMemory); }
-
-  // A server that turns slow shows how many calls in flight crowd the tier, which is told nowhere. Danger:
-  // once crowded, a server stays slow for long and its calls crowd the others.
-  void find_knee(ServerNode& s) {
-    if (settings_.tier > 0 || !s.idle.learned) return;
-    const bool slow = s.recent.mean > (s.slow ? kRecovered : kSlow) * s.idle.base;
-    if (slow && !s.slow && now_ > knee_at_ + kKneePause && is_crowd()) {
-      knee_ = std::max(1.0, kKneeDrop * std::min<double>(in_flight_, knee()));  // 0 would refuse for good
-      knee_at_ = now_;
-      out_->push_back(LogLine{"crowded: " + s.told.address + " and others turned slow, in flight held to " +
-                              std::to_string(knee_)});
-    }
-    s.slow = slow;
+  void detect_overload(ServerNode& s) {
+    if (!tier_limit_.is_first_tier() || !s.capacity.is_measured()) return;
+    if (!s.capacity.update_slow() || !tier_limit_.overload_bound().may_drop(now_) || !is_overload()) return;
+    const double bound = tier_limit_.overload_bound().drop(now_, tier_limit_.in_flight());
+    out_->push_back(LogLine{"overloaded: " + s.told.address +
+                            " and others turned slow, in flight limited to " + std::to_string(bound)});
   }
 
-  // Whether the servers are slower than usual by half of them or more. Danger: one that is slow by itself,
-  // sick or squeezed by a neighbour, tells nothing of how many calls the others can hold.
-  bool is_crowd() const {
-    int measured = 0, slower = 0;
+  bool is_overload() const {
+    SlowServerCount count;
     for (const std::size_t i : ring_) {
       const ServerNode& s = servers_[i];
-      if (!s.idle.learned) continue;
-      ++measured;
-      if (s.recent.mean > kRecovered * s.idle.base) ++slower;
+      if (s.capacity.is_measured()) count.add(s.capacity.is_slower_than_idle());
     }
-    return 2 * slower >= measured;
+    return count.is_overload();
   }
 
   double warmth(const ServerNode& s) const { return slow_start_.factor(now_, s.slow_start, s.told.started); }
@@ -326,17 +252,17 @@
   // Danger: at a call a second, calls in flight tell slow servers from fast ones only once queues are long.
   double pace(const ServerNode& s) const {
     const double learned = 1 + (s.pace.mean - 1) * std::max(0.0, 1 - (now_ - s.paced_at) / kPaceMemory);
-    const double waited = s.in_flight == 0 ? 0 : (now_ - s.sent_sum / s.in_flight) / usual_.mean;
+    const double waited = s.in_flight.count() == 0 ? 0 : s.in_flight.mean_age(now_) / usual_.mean;
     return std::max({1.0, learned, waited});  // like servers stay a tie, which calls in flight decide
   }
 
   // Danger: where calls are few all are idle, and one that was put back by hand would lose each draw until it
   // is warm. Its budget bounds what it gets.
   double busyness(const ServerNode& s) const {
-    const double warm = s.in_flight == 0 && s.slow_start.was_enabled() ? 1 : warmth(s);
+    const double warm = s.in_flight.count() == 0 && s.slow_start.was_enabled() ? 1 : warmth(s);
     const double trust = std::pow(1 - std::min(s.outlier.failure_rate(now_), 0.99), kFailPower);
-    return (s.in_flight + 1) * pace(s) * (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_cost : 1) /
-           (s.told.weight * warm * trust);
+    return (s.in_flight.count() + 1) * pace(s) *
+           (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_cost : 1) / (s.told.weight * warm * trust);
   }
 
   bool in_scope(const Pending& p, const ServerNode& s) const {
@@ -378,7 +304,7 @@
   // The less busy of two random members of the subset. Where it has too few that are well, all servers stand
   // in; where none is well the cause is shared and health does not count.
   std::optional<std::size_t> pick(const Pending& p) {
-    if (!tier_has_room(p)) return std::nullopt;
+    if (!tier_limit_.has_capacity(now_, shape_, p.within_share, random_)) return std::nullopt;
     const bool first_tier = settings_.tier == 0;
     const bool found =
         (gather(subset_, p, true, true, true) && choice_.size() * 2 >= usual_size_) ||
@@ -446,17 +372,15 @@
     ServerNode& s = servers_[a.server];
     a.counted = true;
     a.sent = now_;
-    s.in_flight += 1;
-    s.sent_sum += now_;
-    in_flight_ += 1;
+    s.in_flight.add(now_);
+    tier_limit_.add_in_flight();
   }
 
   void discount(Attempt& a) {
     if (!std::exchange(a.counted, false)) return;
     ServerNode& s = servers_[a.server];
-    s.in_flight -= 1;
-    s.sent_sum -= a.sent;
-    in_flight_ -= 1;
+    s.in_flight.remove(a.sent);
+    tier_limit_.remove_in_flight();
   }
 
   void answer_unserved(const std::string& id, Pending& p) {
@@ -516,7 +440,7 @@
     p.tenant = tenant;
     p.rules = rules;
     if (std::isfinite(c.latency_objective))
-      aim_.add(std::min(c.latency_objective, c.client_timeout), kLatencyGain);
+      tier_limit_.record_objective(std::min(c.latency_objective, c.client_timeout));
     const double latency_objective =
         std::min(c.latency_objective + c.objective_growth * r.work.value_or(0), c.client_timeout);
     p.useful_until =
@@ -570,10 +494,8 @@
     const double latency_objective = p.rules->told.latency_objective;
     const double part_of_aim = latency_objective > 0 ? r.elapsed / latency_objective : 0;
     if (answered) {
-      s.answered.add(now_);
-      answered_.add(now_);
-      idle_.add(now_, part_of_aim);
-      s.idle.add(now_, part_of_aim);
+      s.capacity.record_response(now_, part_of_aim);
+      tier_limit_.record_response(now_, part_of_aim);
     }
     // Danger: a time-out tells that an answer takes longer, not how long: its sample is censored. Taken for
     // an answer time, one that the caller cut short makes the next time-out shorter, one that had all its
@@ -584,16 +506,13 @@
       s.pace.add(latency.mean > 0 ? std::max(told, r.elapsed) / latency.mean : 1, kPaceGain);
       s.paced_at = now_;
       usual_.add(told, kLatencyGain);
-      recent_.add(latency_objective > 0 ? told / latency_objective : 0, kRecentGain);
+      tier_limit_.record_recent_latency(latency_objective > 0 ? told / latency_objective : 0);
       latency.add(told, kLatencyGain);
       if (answered) p.rules->quickest.add(now_, r.elapsed);
     }
     if (answered) {
-      // Danger: a call that was not answered, here or in a tier behind, lasts as long as it may. One such
-      // would pass for a server that has turned slow.
-      s.recent.add(s.idle.learned ? std::min(part_of_aim, kMostSlow * s.idle.base) : part_of_aim,
-                   kRecentGain);
-      find_knee(s);
+      s.capacity.record_recent_latency(part_of_aim);
+      detect_overload(s);
     }
     // As the design has it, failures cut and answers in time raise a limit; one sick server cuts no tenant.
     // Danger: an error or a spoilt answer tells of a server, not of a crowd, and comes at any load.
@@ -646,7 +565,7 @@
       return;
     }
     rewatch_ = kRewatch;
-    met_at_ = std::min(met_at_, now_);
+    tier_limit_.on_membership(now_);
     ++listing_;
     for (const Server& told : update.servers) learn(told);
     if (update.form == MembershipUpdate::Form::kFull) {
@@ -693,22 +612,16 @@
   TenantTable tenants_;
   LoadSheddingLog load_shedding_log_;
   std::vector<std::shared_ptr<ClassState>> classes_;
-  Ewma aim_;                                        // of the calls that come
-  Ewma usual_{1, 0, 0};                             // s; answer time over all servers and classes
-  IdleTime idle_;                                   // of the tier
-  Ewma recent_;                                     // answer time now, as a part of the aim
-  double knee_ = kInfinity, knee_at_ = -kInfinity;  // calls in flight at which servers began to slow down
+  Ewma usual_{1, 0, 0};  // s; answer time over all servers and classes
+  TierConcurrencyLimit tier_limit_;
   std::vector<ServerNode> servers_;
   std::unordered_map<std::string, std::size_t> by_address_;
   std::vector<std::size_t> unused_;                 // places of servers that were forgotten
   std::unordered_map<std::string, double> banned_;  // by hand, listed or not, since when; never walked
   std::vector<std::size_t> ring_, subset_, choice_;
   std::size_t usual_size_ = 0;  // of the subset, without extra members
-  double sharers_ = 1;          // copies that use the same server
+  SubsetShape shape_;
   SlowStartPolicy slow_start_;
-  DecayingRate answered_{kAnsweredMemory};
-  int in_flight_ = 0;
-  double met_at_ = kInfinity;
   std::uint64_t listing_ = 0;
   double retry_tokens_ = kRetryBurst;
   double rewatch_ = kRewatch, asked_at_ = -kInfinity;
