--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -10,11 +10,16 @@
 
 #include "admission/load_shedding_log.h"
 #include "admission/tenant_table.h"
+#include "attempts/attempt_timeout.h"
+#include "attempts/idempotency_rules.h"
+#include "attempts/request_class_table.h"
+#include "attempts/request_state.h"
+#include "attempts/retry_budget.h"
 #include "capacity/concurrency_limits.h"
 #include "capacity/in_flight_load.h"
 #include "health/outlier_detection.h"
 #include "health/slow_start.h"
-#include "support.h"
+#include "statistics/random_source.h"
 
 namespace nettleyoke {
 namespace {
@@ -31,19 +36,9 @@
 constexpr double kPaceMemory = 20;     // s; fades to the usual, or a slow server is never met again
 constexpr double kPriceWeight = 50;    // a crossing's price of 0.01 makes a server look half as busy again
 
-constexpr double kLatencyGain = 0.05;  // weight of one sample in the latency estimates
-constexpr double kDeviations = 6;      // deviations over the mean before an attempt is given up
-constexpr double kLate = 3;  // deviations over the mean; the most that an attempt without an answer tells
-constexpr double kQuickestGain = 0.02, kQuickestMemory = 10;  // of one answer; s
-constexpr double kRetryShare = 0.1;                           // further attempts per first one
-constexpr double kRetryBurst = 6;  // further attempts saved up at most: failures come in clusters
-constexpr double kRewatch = 0.3;   // s; first wait before asking for the members again, then doubled
-constexpr double kAskApart = 4;    // s; between the starts of two calls that fail, at most
-
-// Which outcomes prove that an attempt never ran. Danger: taking an unknown end for harmless repeats effects.
-bool never_ran(Outcome outcome) {
-  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
-}
+constexpr double kLatencyGain = 0.05;  // weight of one sample in the usual latency
+constexpr double kRewatch = 0.3;       // s; first wait before asking for the members again, then doubled
+constexpr double kAskApart = 4;        // s; between the starts of two calls that fail, at most
 
 struct ServerNode {
   Server told;
@@ -103,24 +98,7 @@
     settings_ = settings;
     slow_start_.configure(settings);
     tier_limit_.configure(settings);
-    settings_.classes.emplace_back();  // what is out of range lands here: unsafe, no aim of its own
-    settings_.classes.back().client_timeout = settings_.classes.back().latency_objective = kInfinity;
-    std::vector<std::shared_ptr<ClassState>> classes;
-    for (const RequestClass& told : settings_.classes) {
-      const double latency_objective = std::min(told.latency_objective, 60.0);
-      ClassState fresh{told,
-                       settings_.max_attempts,
-                       {latency_objective / 4, latency_objective / 8, 0},
-                       {kQuickestGain, kQuickestMemory}};
-      for (const auto& old : classes_) {
-        if (told.name.empty() || old->told.name != told.name) continue;
-        fresh.latency = old->latency;
-        fresh.quickest = old->quickest;
-        break;  // the first of a name is the one in force
-      }
-      classes.push_back(std::make_shared<ClassState>(std::move(fresh)));
-    }
-    classes_ = std::move(classes);
+    classes_.replace(settings);
     tenants_.replace(settings);
   }
 
@@ -222,9 +200,9 @@
 
   // ---------------------------------------------------------------- is it healthy?
 
-  bool has_room(const Pending& p, const ServerNode& s) const {
+  bool has_room(const RequestState& p, const ServerNode& s) const {
     return s.capacity.has_capacity(now_, s.in_flight.count(), tier_limit_.idle_latency_s(), shape_,
-                                   p.within_share);
+                                   p.within_quota);
   }
 
   void detect_overload(ServerNode& s) {
@@ -265,35 +243,20 @@
            (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_cost : 1) / (s.told.weight * warm * trust);
   }
 
-  bool in_scope(const Pending& p, const ServerNode& s) const {
-    const RequestClass& c = p.rules->told;
-    for (const Attempt& a : p.attempts) {
-      if (!a.may_have_run || c.idempotency == Idempotency::kIdempotent) continue;
-      if (c.idempotency == Idempotency::kNonIdempotent || now_ > a.sent + c.dedup_window) return false;
-      const Server& t = servers_[a.server].told;
-      if (c.dedup_scope == DedupScope::kZone && t.zone != s.told.zone) return false;
-      if (c.dedup_scope == DedupScope::kCell && t.cell != s.told.cell) return false;
-    }
-    return true;
-  }
-
-  // How long a further attempt of a keyed request may take to go out. Danger: one that waits for a connection
-  // would be sent past the window that held when it was decided on.
-  std::optional<double> send_within(const Pending& p) const {
-    if (p.rules->told.idempotency != Idempotency::kIdempotencyKey || !p.may_have_run()) return std::nullopt;
-    double out = kInfinity;
-    for (const Attempt& a : p.attempts)
-      if (a.may_have_run) out = std::min(out, a.sent + p.rules->told.dedup_window - now_);
-    return out;
+  bool in_scope(const RequestState& p, const ServerNode& s) const {
+    return std::all_of(p.attempts.begin(), p.attempts.end(), [&](const AttemptRecord& earlier) {
+      return allows_attempt_after(now_, p.rules(), earlier, servers_[earlier.server].told, s.told);
+    });
   }
 
   // Gathers the servers of `from` that may be used; returns whether there are any. Past the first tier room
   // is a wish: a refusal there wastes what was done above.
-  bool gather(const std::vector<std::size_t>& from, const Pending& p, bool healthy, bool untried, bool room) {
+  bool gather(const std::vector<std::size_t>& from, const RequestState& p, bool healthy, bool untried,
+              bool room) {
     choice_.clear();
     for (const std::size_t i : from) {
       ServerNode& s = servers_[i];
-      if ((healthy && s.outlier.is_ejected(now_)) || (untried && p.tried(i)) || (room && !has_room(p, s)))
+      if ((healthy && s.outlier.is_ejected(now_)) || (untried && p.has_tried(i)) || (room && !has_room(p, s)))
         continue;
       if (s.extra && &from == &subset_ && warmth(s) >= 1) continue;
       if (in_scope(p, s) && slow_start_.has_token(now_, s.slow_start, s.told.started)) choice_.push_back(i);
@@ -303,8 +266,8 @@
 
   // The less busy of two random members of the subset. Where it has too few that are well, all servers stand
   // in; where none is well the cause is shared and health does not count.
-  std::optional<std::size_t> pick(const Pending& p) {
-    if (!tier_limit_.has_capacity(now_, shape_, p.within_share, random_)) return std::nullopt;
+  std::optional<std::size_t> pick(const RequestState& p) {
+    if (!tier_limit_.has_capacity(now_, shape_, p.within_quota, random_)) return std::nullopt;
     const bool first_tier = settings_.tier == 0;
     const bool found =
         (gather(subset_, p, true, true, true) && choice_.size() * 2 >= usual_size_) ||
@@ -321,71 +284,43 @@
     return busyness(servers_[b]) < busyness(servers_[a]) ? b : a;
   }
 
-  // ---------------------------------------------------------------- how long?
-
-  // An attempt may run until the answer is worthless, or until it is clearly late while another can follow.
-  double timeout(const Pending& p) const {
-    const double left = p.useful_until - now_;
-    const Ewma& usual = p.rules->latency;
-    const double longest = usual.mean + kDeviations * usual.deviation;
-    const bool can_repeat = p.rules->told.idempotency != Idempotency::kNonIdempotent &&
-                            p.attempts.size() + 1 < static_cast<std::size_t>(p.rules->max_attempts);
-    return can_repeat && left - longest > usual.mean ? longest : left;
-  }
-
-  // ---------------------------------------------------------------- again?
-
-  bool worth_another(const Pending& p) const {
-    return !p.streaming && !p.body_consumed &&
-           p.attempts.size() < static_cast<std::size_t>(p.rules->max_attempts) && retry_tokens_ >= 1 &&
-           p.useful_until - now_ > p.rules->latency.mean / 2;
-  }
-
-  // A refusal promises that a repeat is harmless: only when nothing can have run, or repeats are dropped.
-  bool may_refuse(const Pending& p) const {
-    const RequestClass& c = p.rules->told;
-    if (c.idempotency == Idempotency::kIdempotent) return true;
-    if (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll) return true;
-    return !p.may_have_run();
-  }
-
   // ---------------------------------------------------------------- doing it
 
-  bool send(const std::string& id, Pending& p) {
-    const double limit = timeout(p);
+  bool send(const std::string& id, RequestState& p) {
+    const double limit = attempt_timeout(now_, p);
     const std::optional<std::size_t> server = limit > 0 ? pick(p) : std::nullopt;
     if (!server) return false;
     ServerNode& s = servers_[*server];
-    const std::optional<double> within = send_within(p);
-    retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + (p.attempts.empty() ? kRetryShare : -1));
+    const std::optional<double> within = retry_send_limit(now_, p);
+    p.attempts.empty() ? retry_budget_.on_first_attempt() : retry_budget_.on_retry();
     if (warmth(s) < 1) s.slow_start.take_token();
     s.named += 1;
     p.attempts.push_back({*server, now_});
     // Danger: a body may take seconds to come, or an answer to go. Taken for work the server has in hand, a
     // few of them would take up what the tier may hold, and all others be refused.
-    if (!p.coming) count(p.attempts.back());
+    if (!p.body_in_progress) count(p.attempts.back());
     out_->push_back(StartAttempt{id, s.told.address, limit, p.useful_until - now_, within});
     return true;
   }
 
-  void count(Attempt& a) {
+  void count(AttemptRecord& a) {
     ServerNode& s = servers_[a.server];
-    a.counted = true;
-    a.sent = now_;
+    a.in_flight = true;
+    a.sent_at = now_;
     s.in_flight.add(now_);
     tier_limit_.add_in_flight();
   }
 
-  void discount(Attempt& a) {
-    if (!std::exchange(a.counted, false)) return;
+  void discount(AttemptRecord& a) {
+    if (!std::exchange(a.in_flight, false)) return;
     ServerNode& s = servers_[a.server];
-    s.in_flight.remove(a.sent);
+    s.in_flight.remove(a.sent_at);
     tier_limit_.remove_in_flight();
   }
 
-  void answer_unserved(const std::string& id, Pending& p) {
+  void answer_unserved(const std::string& id, RequestState& p) {
     p.finished = true;
-    if (!may_refuse(p)) return out_->push_back(Fail{id});
+    if (!may_reject(p)) return out_->push_back(Fail{id});
     out_->push_back(Reject{id, settings_.max_retry_after / 2});
   }
 
@@ -395,17 +330,17 @@
     }
   }
 
-  void close(std::unordered_map<std::string, Pending>::iterator it) {
-    const Pending ended = std::move(it->second);
+  void close(std::unordered_map<std::string, RequestState>::iterator it) {
+    const RequestState ended = std::move(it->second);
     pending_.erase(it);
-    for (const Attempt& a : ended.attempts) {
+    for (const AttemptRecord& a : ended.attempts) {
       servers_[a.server].named -= 1;
       forget_if_gone(a.server);
     }
   }
 
-  void cancel_open(const std::string& id, const Pending& p) {
-    if (!settings_.can_cancel || p.streaming) return;
+  void cancel_open(const std::string& id, const RequestState& p) {
+    if (!settings_.can_cancel || p.response_started) return;
     for (std::size_t i = 0; i < p.attempts.size(); ++i) {
       if (p.attempts[i].open) out_->push_back(CancelAttempt{id, static_cast<int>(i)});
     }
@@ -420,25 +355,25 @@
   void on(const Request& r) {
     if (pending_.contains(r.id)) return;  // an id that is still open: one answer is owed, not two
     const std::shared_ptr<TenantRateLimiter>& tenant = tenants_.at(r.tenant);
-    const bool within_share = tenant->is_within_quota(now_);
+    const bool within_quota = tenant->is_within_quota(now_);
     if (!tenant->admit(now_, random_)) {
       out_->push_back(Reject{r.id, settings_.max_retry_after / 2});
       note_shed(ShedReason::kThrottled);
       return;
     }
-    const std::shared_ptr<ClassState>& rules = classes_[std::min(r.request_class, classes_.size() - 1)];
-    const RequestClass& c = rules->told;
+    const std::shared_ptr<RequestClassState>& rules = classes_.at(r.request_class);
+    const RequestClass& c = rules->rules;
     // Guards against work for calls that come too late: they would cost a server its time and end in a
     // time-out.
-    if (r.time_left < rules->quickest.at(now_)) {
+    if (r.time_left < rules->latency.quickest(now_)) {
       out_->push_back(Reject{r.id, settings_.max_retry_after / 2});
       return;
     }
     slow_start_.record_admitted(now_);
     const auto it = pending_.try_emplace(r.id).first;
-    Pending& p = it->second;
+    RequestState& p = it->second;
     p.tenant = tenant;
-    p.rules = rules;
+    p.request_class = rules;
     if (std::isfinite(c.latency_objective))
       tier_limit_.record_objective(std::min(c.latency_objective, c.client_timeout));
     const double latency_objective =
@@ -446,9 +381,9 @@
     p.useful_until =
         now_ + std::min(r.time_left,
                         c.late_value > 0 ? r.time_left : latency_objective - 2 * settings_.clock_granularity);
-    p.within_share = within_share;
-    p.taken = now_;
-    p.coming = r.body_in_progress;
+    p.within_quota = within_quota;
+    p.accepted_at = now_;
+    p.body_in_progress = r.body_in_progress;
     if (send(r.id, p)) return;
     tenant->on_failure();
     note_shed(ShedReason::kNoCapacity);
@@ -459,13 +394,13 @@
   void on(const AttemptResult& r) {
     const auto it = pending_.find(r.id);
     if (it == pending_.end()) return;
-    Pending& p = it->second;
+    RequestState& p = it->second;
     if (r.attempt < 0 || static_cast<std::size_t>(r.attempt) >= p.attempts.size()) return;
-    Attempt& a = p.attempts[static_cast<std::size_t>(r.attempt)];
+    AttemptRecord& a = p.attempts[static_cast<std::size_t>(r.attempt)];
     if (!a.open) return;
     a.open = false;
     p.body_consumed |= r.body_consumed;
-    a.may_have_run = !never_ran(r.outcome);
+    a.may_have_run = !proves_never_ran(r.outcome);
     ServerNode& s = servers_[a.server];
     discount(a);
     if (!a.learned) {
@@ -477,38 +412,32 @@
       p.finished = true;
       cancel_open(r.id, p);
     }
-    if (!p.finished && !p.any_open() && !(worth_another(p) && send(r.id, p))) answer_unserved(r.id, p);
-    if (p.finished && !p.any_open()) close(it);
+    if (!p.finished && !p.has_open_attempt() && !(retry_budget_.allows_retry(now_, p) && send(r.id, p)))
+      answer_unserved(r.id, p);
+    if (p.finished && !p.has_open_attempt()) close(it);
   }
 
-  void learn_from(const Pending& p, ServerNode& s, const AttemptResult& r) {
+  void learn_from(const RequestState& p, ServerNode& s, const AttemptResult& r) {
     const bool was_well = !s.outlier.is_ejected(now_);
     if (r.outcome == Outcome::kCancelled || r.outcome == Outcome::kNotSent) return;
     const bool answered = r.outcome == Outcome::kSucceeded;
-    Ewma& latency = p.rules->latency;
-    // Danger: a time-out that the caller cut short tells of the caller. At the mean a good server is late
-    // half of the time, a deviation past it seldom.
-    const double past = (r.elapsed - latency.mean) / std::max(1e-9, latency.deviation);
-    const double weight = r.outcome == Outcome::kTimedOut ? std::clamp((past + 1) / 2, 0.0, 1.0) : 1;
+    LatencyEstimate& latency = p.request_class->latency;
+    const double weight = r.outcome == Outcome::kTimedOut ? latency.timeout_weight(r.elapsed) : 1;
     if (r.outcome != Outcome::kRejected) s.outlier.record(now_, answered, weight);
-    const double latency_objective = p.rules->told.latency_objective;
+    const double latency_objective = p.rules().latency_objective;
     const double part_of_aim = latency_objective > 0 ? r.elapsed / latency_objective : 0;
     if (answered) {
       s.capacity.record_response(now_, part_of_aim);
       tier_limit_.record_response(now_, part_of_aim);
     }
-    // Danger: a time-out tells that an answer takes longer, not how long: its sample is censored. Taken for
-    // an answer time, one that the caller cut short makes the next time-out shorter, one that had all its
-    // time the next longer, and neither comes back.
-    const double late = latency.mean + kLate * latency.deviation;
-    const double told = answered ? r.elapsed : std::min(r.elapsed + latency.deviation, late);
-    if (answered || (r.outcome == Outcome::kTimedOut && r.elapsed >= latency.mean)) {
-      s.pace.add(latency.mean > 0 ? std::max(told, r.elapsed) / latency.mean : 1, kPaceGain);
+    const double told = answered ? r.elapsed : latency.censored_sample(r.elapsed);
+    if (answered || (r.outcome == Outcome::kTimedOut && r.elapsed >= latency.mean())) {
+      s.pace.add(latency.mean() > 0 ? std::max(told, r.elapsed) / latency.mean() : 1, kPaceGain);
       s.paced_at = now_;
       usual_.add(told, kLatencyGain);
       tier_limit_.record_recent_latency(latency_objective > 0 ? told / latency_objective : 0);
-      latency.add(told, kLatencyGain);
-      if (answered) p.rules->quickest.add(now_, r.elapsed);
+      latency.record(told);
+      if (answered) latency.record_answer(now_, r.elapsed);
     }
     if (answered) {
       s.capacity.record_recent_latency(part_of_aim);
@@ -525,10 +454,10 @@
   void on(const ResponseStarted& r) {
     const auto it = pending_.find(r.id);
     if (it == pending_.end()) return;
-    Pending& p = it->second;
-    p.streaming = true;
+    RequestState& p = it->second;
+    p.response_started = true;
     if (r.attempt < 0 || static_cast<std::size_t>(r.attempt) >= p.attempts.size()) return;
-    Attempt& a = p.attempts[static_cast<std::size_t>(r.attempt)];
+    AttemptRecord& a = p.attempts[static_cast<std::size_t>(r.attempt)];
     if (!a.open || std::exchange(a.learned, true)) return;
     discount(a);
     learn_from(p, servers_[a.server], {r.id, r.attempt, Outcome::kSucceeded, r.elapsed});
@@ -536,11 +465,11 @@
 
   void on(const RequestBodyComplete& r) {
     const auto it = pending_.find(r.id);
-    if (it == pending_.end() || !std::exchange(it->second.coming, false)) return;
-    Pending& p = it->second;
-    p.useful_until += now_ - p.taken;
-    for (Attempt& a : p.attempts) {
-      if (a.open && !a.counted && !a.learned) count(a);
+    if (it == pending_.end() || !std::exchange(it->second.body_in_progress, false)) return;
+    RequestState& p = it->second;
+    p.useful_until += now_ - p.accepted_at;
+    for (AttemptRecord& a : p.attempts) {
+      if (a.open && !a.in_flight && !a.learned) count(a);
     }
   }
 
@@ -549,7 +478,7 @@
     if (it == pending_.end()) return;
     if (!it->second.finished) cancel_open(r.id, it->second);
     it->second.finished = true;
-    if (!it->second.any_open()) close(it);
+    if (!it->second.has_open_attempt()) close(it);
   }
 
   void on(const MembershipUpdate& update) {
@@ -611,7 +540,7 @@
   std::vector<Action>* out_ = nullptr;
   TenantTable tenants_;
   LoadSheddingLog load_shedding_log_;
-  std::vector<std::shared_ptr<ClassState>> classes_;
+  RequestClassTable classes_;
   Ewma usual_{1, 0, 0};  // s; answer time over all servers and classes
   TierConcurrencyLimit tier_limit_;
   std::vector<ServerNode> servers_;
@@ -623,10 +552,11 @@
   SubsetShape shape_;
   SlowStartPolicy slow_start_;
   std::uint64_t listing_ = 0;
-  double retry_tokens_ = kRetryBurst;
+  RetryBudget retry_budget_;
   double rewatch_ = kRewatch, asked_at_ = -kInfinity;
   std::uint64_t watch_timer_ = 0;  // the last one set: others, from before a reload, would be more calls
-  std::unordered_map<std::string, Pending> pending_;  // looked up, never walked: order would not be stable
+  std::unordered_map<std::string, RequestState>
+      pending_;  // looked up, never walked: order would not be stable
 };
 
 Balancer::Balancer(const Settings& s, std::uint64_t seed) : impl_(std::make_unique<Impl>(s, seed)) {}
