--- /dev/null
+++ b/src/membership/server_registry.cpp
@@ -0,0 +1,104 @@
+#include "membership/server_registry.h"
+
+#include <algorithm>
+
+namespace nettleyoke {
+namespace {
+
+// Another process runs at the address: what the last one did says nothing of it. Attempts that are still open
+// count on.
+void begin_incarnation(double now, ServerRecord& record, RandomSource& random) {
+  record.is_subset_extra = false;
+  record.outlier = {};
+  record.slow_start.begin_incarnation(now, random.unit());
+  record.capacity = ServerConcurrencyLimit(now);
+  record.relative_latency = {};
+}
+
+}  // namespace
+
+ServerRegistry::Slot ServerRegistry::find_or_add(const std::string& address) {
+  const auto [entry, inserted] = index_by_address_.try_emplace(address, records_.size());
+  if (!inserted) return {entry->second, false};
+  if (free_indices_.empty()) {
+    records_.emplace_back();
+  } else {
+    entry->second = free_indices_.back();
+    free_indices_.pop_back();
+    records_[entry->second] = {};
+  }
+  records_[entry->second].order = stable_hash(address);
+  return {entry->second, true};
+}
+
+void ServerRegistry::advertise(double now, const Server& server, RandomSource& random) {
+  const Slot slot = find_or_add(server.address);
+  ServerRecord& record = records_[slot.index];
+  if (slot.is_new || server.started != record.advertised.started ||
+      record.advertised.state == ServerState::kRemoved) {
+    begin_incarnation(now, record, random);
+  }
+  const auto disabled = disabled_since_.find(server.address);
+  record.administratively_disabled = disabled != disabled_since_.end();
+  if (record.administratively_disabled) record.slow_start.on_disabled(disabled->second);
+  record.advertised = server;
+  record.list_version = list_version_;
+  if (!(record.advertised.weight > 0)) record.advertised.weight = 1;
+}
+
+void ServerRegistry::update(double now, const MembershipUpdate& update, RandomSource& random) {
+  ++list_version_;
+  for (const Server& server : update.servers) advertise(now, server, random);
+  if (update.form == MembershipUpdate::Form::kFull) {
+    for (ServerRecord& record : records_) {
+      if (record.list_version != list_version_) record.advertised.state = ServerState::kRemoved;
+    }
+  }
+  for (std::size_t index = 0; index < records_.size(); ++index) forget_if_unused(index);
+}
+
+// A server is restarted while it is disabled, and the list may advertise that late or never. Taken for warmed
+// up, it would be overloaded: once enabled, it counts as just started.
+bool ServerRegistry::set_admin_state(double now, const ServerAdminStateChanged& change,
+                                     RandomSource& random) {
+  const bool changed = change.enabled ? disabled_since_.erase(change.address) > 0
+                                      : disabled_since_.try_emplace(change.address, now).second;
+  if (!changed) return false;
+  const auto entry = index_by_address_.find(change.address);
+  if (entry == index_by_address_.end()) return false;
+  ServerRecord& record = records_[entry->second];
+  record.administratively_disabled = !change.enabled;
+  if (change.enabled) {
+    record.slow_start.on_enabled(now);
+    begin_incarnation(now, record, random);
+  } else {
+    record.slow_start.on_disabled(now);
+  }
+  return true;
+}
+
+void ServerRegistry::release_reference(std::size_t index) {
+  records_[index].attempt_references -= 1;
+  forget_if_unused(index);
+}
+
+// Attempts of open requests name their servers, also those that have ended: their cell binds where the next
+// attempt may go.
+void ServerRegistry::forget_if_unused(std::size_t index) {
+  ServerRecord& record = records_[index];
+  if (record.advertised.state != ServerState::kRemoved || record.attempt_references > 0) return;
+  if (record.forgotten) return;
+  index_by_address_.erase(record.advertised.address);
+  record.forgotten = true;
+  free_indices_.push_back(index);
+}
+
+std::size_t ServerRegistry::unavailable_count(double now) const {
+  return static_cast<std::size_t>(
+      std::count_if(records_.begin(), records_.end(), [&](const ServerRecord& record) {
+        return record.advertised.state != ServerState::kRemoved &&
+               (record.administratively_disabled || record.outlier.is_ejected(now));
+      }));
+}
+
+}  // namespace nettleyoke
--- /dev/null
+++ b/src/membership/watch_backoff.cpp
@@ -0,0 +1,27 @@
+#include "membership/watch_backoff.h"
+
+#include <algorithm>
+
+namespace nettleyoke {
+namespace {
+
+// Between the starts of two calls that fail, at most.
+constexpr double kMaxSecondsBetweenAttempts = 4;
+// Part of the notification deadline that the backoff is at most, and its bound where there is no deadline.
+constexpr double kMaxBackoffPerDeadline = 0.5;
+constexpr double kMaxBackoffSeconds = 5;
+
+}  // namespace
+
+double WatchBackoff::next_attempt_at(double now, double notification_deadline, RandomSource& random) {
+  const double max_backoff =
+      notification_deadline > 0 ? notification_deadline * kMaxBackoffPerDeadline : kMaxBackoffSeconds;
+  const double until_due =
+      std::max(last_attempt_at_ + kMaxSecondsBetweenAttempts - now, kInitialBackoffSeconds);
+  const double pause = std::min(backoff_s_, until_due);
+  last_attempt_at_ = now + std::min(pause, max_backoff) * (0.5 + random.unit() / 2);
+  backoff_s_ = std::min(backoff_s_ * 2, max_backoff);
+  return last_attempt_at_;
+}
+
+}  // namespace nettleyoke
