--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -15,10 +15,10 @@
 #include "attempts/request_class_table.h"
 #include "attempts/request_state.h"
 #include "attempts/retry_budget.h"
-#include "membership/locality.h"
 #include "membership/server_registry.h"
 #include "membership/subsetting.h"
 #include "membership/watch_backoff.h"
+#include "selection/endpoint_selector.h"
 #include "statistics/random_source.h"
 
 namespace nettleyoke {
@@ -28,11 +28,6 @@
 
 constexpr double kInTime = 0.6;  // of the aim; slower answers tell of queues before the aim is missed
 
-constexpr double kFailPower = 4;     // how strongly failures make a server look busy
-constexpr double kPriceWeight = 50;  // a crossing's price of 0.01 makes a server look half as busy again
-
-constexpr double kLatencyGain = 0.05;  // weight of one sample in the usual latency
-
 }  // namespace
 
 class Balancer::Impl {
@@ -61,7 +56,7 @@
     settings_ = settings;
     slow_start_.configure(settings);
     subset_.configure(settings);
-    locality_ = Locality::of(settings);
+    selector_.configure(settings);
     tier_limit_.configure(settings);
     classes_.replace(settings);
     tenants_.replace(settings);
@@ -69,11 +64,6 @@
 
   // ---------------------------------------------------------------- is it healthy?
 
-  bool has_room(const RequestState& p, const ServerRecord& s) const {
-    return s.capacity.has_capacity(now_, s.in_flight.count(), tier_limit_.idle_latency_s(), subset_.shape(),
-                                   p.within_quota);
-  }
-
   void detect_overload(ServerRecord& s) {
     if (!tier_limit_.is_first_tier() || !s.capacity.is_measured()) return;
     if (!s.capacity.update_slow() || !tier_limit_.overload_bound().may_drop(now_) || !is_overload()) return;
@@ -97,66 +87,11 @@
 
   // ---------------------------------------------------------------- which server?
 
-  // Danger: where calls are few all are idle, and one that was put back by hand would lose each draw until it
-  // is warm. Its budget bounds what it gets.
-  double busyness(const ServerRecord& s) const {
-    const double warm = s.in_flight.count() == 0 && s.slow_start.was_enabled() ? 1 : warmth(s);
-    const double trust = std::pow(1 - std::min(s.outlier.failure_rate(now_), 0.99), kFailPower);
-    return (s.in_flight.count() + 1) * s.relative_latency.at(now_, s.in_flight, usual_.mean) *
-           (locality_.is_remote(s.advertised) ? 1 + kPriceWeight * settings_.cross_zone_cost : 1) /
-           (s.advertised.weight * warm * trust);
-  }
-
-  bool in_scope(const RequestState& p, const ServerRecord& s) const {
-    return std::all_of(p.attempts.begin(), p.attempts.end(), [&](const AttemptRecord& earlier) {
-      return allows_attempt_after(now_, p.rules(), earlier, servers_[earlier.server].advertised,
-                                  s.advertised);
-    });
-  }
-
-  // Gathers the servers of `from` that may be used; returns whether there are any. Past the first tier room
-  // is a wish: a refusal there wastes what was done above.
-  bool gather(const std::vector<std::size_t>& from, const RequestState& p, bool healthy, bool untried,
-              bool room) {
-    choice_.clear();
-    for (const std::size_t i : from) {
-      ServerRecord& s = servers_[i];
-      if ((healthy && s.outlier.is_ejected(now_)) || (untried && p.has_tried(i)) || (room && !has_room(p, s)))
-        continue;
-      if (s.is_subset_extra && &from == &subset_.members() && warmth(s) >= 1) continue;
-      if (in_scope(p, s) && slow_start_.has_token(now_, s.slow_start, s.advertised.started))
-        choice_.push_back(i);
-    }
-    return !choice_.empty();
-  }
-
-  // The less busy of two random members of the subset. Where it has too few that are well, all servers stand
-  // in; where none is well the cause is shared and health does not count.
-  std::optional<std::size_t> pick(const RequestState& p) {
-    if (!tier_limit_.has_capacity(now_, subset_.shape(), p.within_quota, random_)) return std::nullopt;
-    const bool first_tier = settings_.tier == 0;
-    const bool found =
-        (gather(subset_.members(), p, true, true, true) && choice_.size() * 2 >= subset_.regular_size()) ||
-        gather(subset_.all(), p, true, true, true) ||
-        (!first_tier && gather(subset_.all(), p, true, true, false)) ||
-        gather(subset_.all(), p, false, true, first_tier) ||
-        gather(subset_.all(), p, false, false, first_tier);
-    if (!found) return std::nullopt;
-    std::size_t home = 0;
-    while (home < choice_.size() && !locality_.is_remote(servers_[choice_[home]].advertised)) ++home;
-    const std::size_t first = random_.below(home > 0 ? home : choice_.size());
-    if (choice_.size() == 1) return choice_[first];
-    std::size_t second = random_.below(choice_.size() - 1);
-    if (second >= first) ++second;
-    const std::size_t a = choice_[first], b = choice_[second];
-    return busyness(servers_[b]) < busyness(servers_[a]) ? b : a;
-  }
-
   // ---------------------------------------------------------------- doing it
 
   bool send(const std::string& id, RequestState& p) {
     const double limit = attempt_timeout(now_, p);
-    const std::optional<std::size_t> server = limit > 0 ? pick(p) : std::nullopt;
+    const std::optional<std::size_t> server = limit > 0 ? selector_.pick_endpoint(now_, p) : std::nullopt;
     if (!server) return false;
     ServerRecord& s = servers_[*server];
     const std::optional<double> within = retry_send_limit(now_, p);
@@ -300,7 +235,7 @@
     const double told = answered ? r.elapsed : latency.censored_sample(r.elapsed);
     if (answered || (r.outcome == Outcome::kTimedOut && r.elapsed >= latency.mean())) {
       s.relative_latency.record(now_, latency.mean() > 0 ? std::max(told, r.elapsed) / latency.mean() : 1);
-      usual_.add(told, kLatencyGain);
+      selector_.record_latency(told);
       tier_limit_.record_recent_latency(latency_objective > 0 ? told / latency_objective : 0);
       latency.record(told);
       if (answered) latency.record_answer(now_, r.elapsed);
@@ -383,13 +318,11 @@
   TenantTable tenants_;
   LoadSheddingLog load_shedding_log_;
   RequestClassTable classes_;
-  Ewma usual_{1, 0, 0};  // s; answer time over all servers and classes
   TierConcurrencyLimit tier_limit_;
   ServerRegistry servers_;
   Subset subset_;
-  Locality locality_;
-  std::vector<std::size_t> choice_;
   SlowStartPolicy slow_start_;
+  EndpointSelector selector_{servers_, subset_, tier_limit_, slow_start_, random_};
   RetryBudget retry_budget_;
   WatchBackoff watch_backoff_;
   std::uint64_t watch_timer_ = 0;  // the last one set: others, from before a reload, would be more calls
