--- /dev/null
+++ b/src/attempt_results.cpp
@@ -0,0 +1,139 @@
+// How attempts end, and what each part learns from it.
+#include <algorithm>
+#include <utility>
+
+#include "attempts/idempotency_rules.h"
+#include "balancer_impl.h"
+
+namespace nettleyoke {
+namespace {
+
+// Part of the latency objective: slower answers show queues before the objective is missed.
+constexpr double kInTimeLatencyRatio = 0.6;
+
+// A latency as a part of the latency objective; 0 where there is none.
+double latency_ratio(const RequestState& request, double latency) {
+  const double objective = request.rules().latency_objective;
+  return objective > 0 ? latency / objective : 0;
+}
+
+// Outcomes of too much load. An error or an invalid response is a fault of a server and comes at any load.
+bool indicates_overload(Outcome outcome) {
+  return outcome == Outcome::kRejected || outcome == Outcome::kTimedOut || outcome == Outcome::kConnectFailed;
+}
+
+}  // namespace
+
+void Balancer::Impl::on(const ResponseStarted& started) {
+  const auto entry = requests_.find(started.id);
+  if (entry == requests_.end()) return;
+  RequestState& request = entry->second;
+  request.response_started = true;
+  AttemptRecord* attempt = request.find_attempt(started.attempt);
+  if (attempt == nullptr || !attempt->open || std::exchange(attempt->learned, true)) return;
+  remove_in_flight(*attempt);
+  learn_from(request, registry_[attempt->server],
+             {started.id, started.attempt, Outcome::kSucceeded, started.elapsed});
+}
+
+void Balancer::Impl::on(const AttemptResult& result) {
+  const auto entry = requests_.find(result.id);
+  if (entry == requests_.end()) return;
+  RequestState& request = entry->second;
+  AttemptRecord* attempt = request.find_attempt(result.attempt);
+  if (attempt == nullptr || !attempt->open) return;
+  attempt->open = false;
+  attempt->may_have_run = !proves_never_ran(result.outcome);
+  request.body_consumed |= result.body_consumed;
+  remove_in_flight(*attempt);
+
+  ServerRecord& server = registry_[attempt->server];
+  if (!attempt->learned) {
+    learn_from(request, server, result);
+  } else if (result.outcome != Outcome::kSucceeded && result.outcome != Outcome::kCancelled) {
+    server.outlier.record(now_, false);
+  }
+  if (result.request_completed && !request.finished) {
+    request.finished = true;
+    cancel_open_attempts(result.id, request);
+  }
+  if (!request.finished && !request.has_open_attempt()) {
+    const bool retried = retry_budget_.allows_retry(now_, request) && start_attempt(result.id, request);
+    if (!retried) answer_unserved(result.id, request);
+  }
+  if (request.finished && !request.has_open_attempt()) close(entry);
+}
+
+void Balancer::Impl::learn_from(const RequestState& request, ServerRecord& server,
+                                const AttemptResult& result) {
+  if (result.outcome == Outcome::kCancelled || result.outcome == Outcome::kNotSent) return;
+  const bool was_ejected = server.outlier.is_ejected(now_);
+  learn_health(request, server, result);
+  learn_latency(request, server, result);
+  learn_rate_limit(request, result, was_ejected);
+}
+
+void Balancer::Impl::learn_health(const RequestState& request, ServerRecord& server,
+                                  const AttemptResult& result) {
+  if (result.outcome == Outcome::kRejected) return;
+  const bool timed_out = result.outcome == Outcome::kTimedOut;
+  const double weight = timed_out ? request.request_class->latency.timeout_weight(result.elapsed) : 1;
+  server.outlier.record(now_, result.outcome == Outcome::kSucceeded, weight);
+}
+
+void Balancer::Impl::learn_latency(const RequestState& request, ServerRecord& server,
+                                   const AttemptResult& result) {
+  const bool succeeded = result.outcome == Outcome::kSucceeded;
+  LatencyEstimate& latency = request.request_class->latency;
+  const bool is_late = result.outcome == Outcome::kTimedOut && result.elapsed >= latency.mean();
+  if (!succeeded && !is_late) return;
+
+  const double ratio = latency_ratio(request, result.elapsed);
+  if (succeeded) {
+    server.capacity.record_response(now_, ratio);
+    tier_limit_.record_response(now_, ratio);
+  }
+  const double sample = succeeded ? result.elapsed : latency.censored_sample(result.elapsed);
+  const double relative = latency.mean() > 0 ? std::max(sample, result.elapsed) / latency.mean() : 1;
+  server.relative_latency.record(now_, relative);
+  selector_.record_latency(sample);
+  tier_limit_.record_recent_latency(latency_ratio(request, sample));
+  latency.record(sample);
+  if (!succeeded) return;
+  latency.record_answer(now_, result.elapsed);
+  server.capacity.record_recent_latency(ratio);
+  detect_overload(server);
+}
+
+// As the design has it, failures lower a tenant's limit and answers in time raise it. An ejected server
+// lowers no tenant's limit.
+void Balancer::Impl::learn_rate_limit(const RequestState& request, const AttemptResult& result,
+                                      bool was_ejected) {
+  if (result.outcome == Outcome::kSucceeded) {
+    if (latency_ratio(request, result.elapsed) < kInTimeLatencyRatio) request.tenant->on_success(now_);
+  } else if (!was_ejected && indicates_overload(result.outcome)) {
+    request.tenant->on_failure();
+  }
+}
+
+// A server that turns slow shows how many calls in flight overload the tier.
+void Balancer::Impl::detect_overload(ServerRecord& server) {
+  if (!tier_limit_.is_first_tier() || !server.capacity.is_measured()) return;
+  const bool turned_slow = server.capacity.update_slow();
+  OverloadBound& bound = tier_limit_.overload_bound();
+  if (!turned_slow || !bound.may_drop(now_) || !are_servers_overloaded()) return;
+  const double calls = bound.drop(now_, tier_limit_.in_flight());
+  actions_->emplace_back(LogLine{"overloaded: " + server.advertised.address +
+                                 " and others turned slow, in flight limited to " + std::to_string(calls)});
+}
+
+bool Balancer::Impl::are_servers_overloaded() const {
+  SlowServerCount count;
+  for (const std::size_t index : subset_.all()) {
+    const ServerConcurrencyLimit& capacity = registry_[index].capacity;
+    if (capacity.is_measured()) count.add(capacity.is_slower_than_idle());
+  }
+  return count.is_overload();
+}
+
+}  // namespace nettleyoke
