--- /dev/null
+++ b/tests/decision_digest_test.cpp
@@ -0,0 +1,382 @@
+// Holds what the balancer decides: long drawn streams of events, and a digest of all actions for each.
+//
+// The expected constants are those of commit a43169a. They are not to change when the program is restructured
+// or renamed. A commit that changes decisions on purpose updates them and says so.
+#include <gtest/gtest.h>
+
+#include <array>
+#include <cstdio>
+#include <ostream>
+#include <string>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "event_stream.h"
+
+namespace thymewood::stream {
+namespace {
+
+constexpr std::size_t kCheckpoints = 4;
+constexpr std::size_t kEventsPerCheckpoint = 10000;
+constexpr std::size_t kEventsPerView = 100;
+
+// FNV-1a over text, with numbers in a form that leaves out the last bits of a platform's libm.
+class Digest {
+ public:
+  void add(const std::string& text) {
+    for (const char c : text) value_ = (value_ ^ static_cast<unsigned char>(c)) * 0x100000001B3ULL;
+  }
+  std::uint64_t value() const { return value_; }
+
+ private:
+  std::uint64_t value_ = 0xCBF29CE484222325ULL;
+};
+
+std::string text_of(double number) {
+  std::array<char, 40> out{};
+  std::snprintf(out.data(), out.size(), "%.9g", number);
+  return out.data();
+}
+
+std::string text_of(const Send& send) {
+  return "send " + send.id + " " + send.server + " " + text_of(send.timeout) + " " + text_of(send.deadline) +
+         " " + (send.send_within ? text_of(*send.send_within) : "-");
+}
+std::string text_of(const Refuse& refuse) {
+  return "refuse " + refuse.id + " " + text_of(refuse.retry_after);
+}
+std::string text_of(const Fail& fail) { return "fail " + fail.id; }
+std::string text_of(const Cancel& cancel) {
+  return "cancel " + cancel.id + " " + std::to_string(cancel.attempt);
+}
+std::string text_of(const SetTimer& timer) {
+  return "timer " + text_of(timer.at) + " " + std::to_string(timer.token);
+}
+std::string text_of(const WatchMembers&) { return "watch"; }
+std::string text_of(const LogLine&) { return ""; }  // wording is not a decision
+
+// Digest and counts of one stream, as its events pass by.
+class Record {
+ public:
+  void note(double now, std::size_t replica, const Balancer& balancer, const Event& event,
+            const std::vector<Action>& actions) {
+    ++events_;
+    ++event_kinds_[event.index()];
+    if (const auto* result = std::get_if<AttemptResult>(&event)) {
+      ++outcomes_[static_cast<std::size_t>(result->outcome)];
+    }
+    if (const auto* update = std::get_if<MembershipUpdate>(&event)) {
+      ++forms_[static_cast<std::size_t>(update->form)];
+    }
+    for (const Action& action : actions) {
+      ++action_kinds_[action.index()];
+      const std::string text = std::visit([](const auto& known) { return text_of(known); }, action);
+      if (text.empty()) continue;
+      ++actions_;
+      digest_.add(std::to_string(events_) + " " + std::to_string(replica) + " " + text + "\n");
+    }
+    if (events_ % kEventsPerView == 0) note_views(now, balancer);
+    if (events_ % kEventsPerCheckpoint == 0 && checkpoints_.size() + 1 < kCheckpoints) {
+      checkpoints_.push_back(digest_.value());
+    }
+  }
+  // The digests after 10,000, 20,000 and 30,000 events and at the end.
+  std::vector<std::uint64_t> checkpoints() const {
+    std::vector<std::uint64_t> out = checkpoints_;
+    out.push_back(digest_.value());
+    return out;
+  }
+  std::size_t events() const { return events_; }
+  std::size_t actions() const { return actions_; }
+  template <typename Kind>
+  std::size_t count_of() const {
+    return action_kinds_[Action(Kind{}).index()];
+  }
+  const auto& event_kinds() const { return event_kinds_; }
+  const auto& outcomes() const { return outcomes_; }
+  const auto& forms() const { return forms_; }
+
+ private:
+  void note_views(double now, const Balancer& balancer) {
+    std::string text =
+        "views " + std::to_string(balancer.servers()) + " " + std::to_string(balancer.servers_avoided(now));
+    for (std::size_t tenant = 0; tenant < 4; ++tenant) {
+      const TenantView view = balancer.tenant(now, tenant);
+      text += " " + text_of(view.rate_limit) + " " + text_of(view.suppression_factor) + " " +
+              text_of(view.total) + " " + text_of(view.declined);
+    }
+    digest_.add(text + "\n");
+  }
+
+  Digest digest_;
+  std::size_t events_ = 0, actions_ = 0;
+  std::array<std::size_t, std::variant_size_v<Event>> event_kinds_{};
+  std::array<std::size_t, std::variant_size_v<Action>> action_kinds_{};
+  std::array<std::size_t, 9> outcomes_{};
+  std::array<std::size_t, 3> forms_{};
+  std::vector<std::uint64_t> checkpoints_;
+};
+
+// ---------------------------------------------------------------- scenarios
+
+RequestClass request_class(const std::string& name, double aim, Effect effect,
+                           DedupScope scope = DedupScope::kAll) {
+  RequestClass out;
+  out.aim = aim;
+  out.aim_stretch = 2;
+  out.give_up = aim * 3;
+  out.effect = effect;
+  out.dedup_scope = scope;
+  out.dedup_window = aim * 1.5;
+  out.name = name;
+  return out;
+}
+
+Settings settings_for(int copies) {
+  Settings out;
+  out.copy_count = copies;
+  out.classes = {request_class("read", 0.6, Effect::kSafe), request_class("put", 1, Effect::kKeyed),
+                 request_class("pay", 2, Effect::kUnsafe)};
+  out.max_attempts = 3;
+  out.can_cancel = true;
+  out.max_retry_after = 2;
+  return out;
+}
+
+// Other settings of which some go on by name: in another order, with one class and one tenant more.
+Settings replaced(Settings settings) {
+  std::swap(settings.classes.front(), settings.classes.back());
+  settings.classes.push_back(request_class("new", 0.8, Effect::kKeyed, DedupScope::kZone));
+  if (!settings.tenants.empty()) {
+    std::swap(settings.tenants.front(), settings.tenants.back());
+    settings.tenants.push_back({5.0, "new tenant"});
+  }
+  settings.copy_count += 1;
+  settings.max_attempts += 1;
+  return settings;
+}
+
+// Calm, overload, a sick server, a slow tier, a slow server, failures everywhere, calm again; all of it
+// twice.
+std::vector<Phase> phases(double arrivals) {
+  std::vector<Phase> out = {
+      {.seconds = 15, .arrivals = arrivals},
+      {.seconds = 5, .arrivals = arrivals * 4, .flood = 0.6},
+      {.seconds = 12, .arrivals = arrivals, .failing = 0.02, .has_sick_server = true},
+      {.seconds = 8, .arrivals = arrivals * 1.5, .slowness = 3.5},
+      {.seconds = 12, .arrivals = arrivals, .has_slow_server = true},
+      {.seconds = 5, .arrivals = arrivals * 0.8, .failing = 0.5, .discovery_fails = true},
+      {.seconds = 20, .arrivals = arrivals * 0.4, .discovery_fails = true},
+      {.seconds = 6, .arrivals = arrivals * 3, .slowness = 1.6, .flood = 0.2},
+      {.seconds = 15, .arrivals = arrivals}};
+  const std::vector<Phase> once = out;
+  out.insert(out.end(), once.begin(), once.end());
+  return out;
+}
+
+Scenario scenario_of(const std::string& name, std::uint64_t seed, const Settings& settings, double arrivals) {
+  Scenario out;
+  out.name = name;
+  out.seed = seed;
+  out.settings = settings;
+  out.replacement = replaced(settings);
+  out.phases = phases(arrivals);
+  return out;
+}
+
+Scenario single_replica() {
+  Settings settings = settings_for(1);
+  settings.tenants = {{40.0, "big"}, {20.0, "middle"}, {std::nullopt, "free"}, {1.0, "small"}};
+  settings.over_share_worth = 0.5;
+  return scenario_of("single_replica", 11, settings, 90);
+}
+
+Scenario tenant_quotas() {
+  Settings settings = settings_for(4);
+  settings.tenants = {{30.0, "big"}, {20.0, "middle"}, {10.0, "small"}};
+  settings.over_share_worth = 0.3;
+  settings.second_copies = true;
+  Scenario out = scenario_of("tenant_quotas", 22, settings, 90);
+  out.replicas = 4;
+  return out;
+}
+
+Scenario deep_tier() {
+  Settings settings = settings_for(3);
+  settings.tier = 2;
+  settings.tick = 0.01;
+  settings.tenants = {{6.0, "big"}, {3.0, "small"}};
+  settings.over_share_worth = 0.4;
+  settings.second_copies = true;
+  settings.can_cancel = false;
+  settings.max_retry_after = 0;
+  settings.classes[1].late_worth = 0.5;
+  Scenario out = scenario_of("deep_tier", 33, settings, 90);
+  out.replicas = 3;
+  return out;
+}
+
+Scenario priced_zones() {
+  Settings settings = settings_for(3);
+  settings.cross_zone_price = 0.01;
+  settings.classes[0] = request_class("zone", 0.9, Effect::kKeyed, DedupScope::kZone);
+  settings.classes[1] = request_class("cell", 0.9, Effect::kKeyed, DedupScope::kCell);
+  Scenario out = scenario_of("priced_zones", 44, settings, 90);
+  out.replicas = 3;
+  out.servers = 12;
+  out.zones = 3;
+  out.cells = 4;
+  out.slots = 2;
+  return out;
+}
+
+Scenario slow_start() {
+  Settings settings = settings_for(5);
+  settings.start_capacity = 0.1;
+  settings.ramp_time = 12;
+  settings.tip_multiple = 1.5;
+  Scenario out = scenario_of("slow_start", 55, settings, 100);
+  out.replicas = 5;
+  out.servers = 20;
+  out.restarts = true;
+  out.change_every = 1.5;
+  return out;
+}
+
+Scenario large_fleet() {
+  Settings settings = settings_for(40);
+  settings.tenants = {{200.0, "big"}, {30.0, "small"}};
+  settings.over_share_worth = 0.3;
+  settings.start_capacity = 0.2;
+  settings.ramp_time = 15;
+  settings.cross_zone_price = 0.004;
+  Scenario out = scenario_of("large_fleet", 66, settings, 90);
+  out.replacement.cross_zone_price = 0;  // one ring, in which the cold ones go beyond the usual subset
+  out.replicas = 4;
+  out.servers = 30;
+  out.zones = 2;
+  out.cells = 3;
+  out.slots = 1;
+  out.restarts = true;
+  return out;
+}
+
+Scenario watched_discovery() {
+  Settings settings = settings_for(2);
+  settings.must_watch = true;
+  settings.second_copies = true;
+  Scenario out = scenario_of("watched_discovery", 77, settings, 90);
+  out.replacement.ask_within = 3;
+  out.replicas = 2;
+  out.change_every = 1;
+  return out;
+}
+
+Scenario late_answers() {
+  Settings settings = settings_for(2);
+  settings.classes[0] = request_class("read", 0.35, Effect::kSafe);
+  settings.classes[1].late_worth = 0.6;
+  settings.classes[2].late_worth = 0.3;
+  settings.max_attempts = 4;
+  settings.max_retry_after = 0;
+  Scenario out = scenario_of("late_answers", 88, settings, 90);
+  out.replicas = 2;
+  out.service_time = 0.15;
+  out.replacement.must_watch = true;
+  return out;
+}
+
+// Servers that turn slow together and recover, over and over: the bound on calls in flight is learned often.
+Scenario unsteady_servers() {
+  Scenario out = scenario_of("unsteady_servers", 99, settings_for(1), 150);
+  out.servers = 24;
+  out.change_every = 4;
+  out.phases.clear();
+  for (int i = 0; i < 12; ++i) {
+    out.phases.push_back({.seconds = 5, .arrivals = 200, .failing = 0.03});
+    out.phases.push_back({.seconds = 5, .arrivals = 220, .slowness = 2.5 + 0.2 * (i % 3), .failing = 0.03});
+  }
+  return out;
+}
+
+// ---------------------------------------------------------------- the test
+
+struct Expected {
+  Scenario scenario;
+  std::vector<std::uint64_t> checkpoints;
+};
+
+std::vector<Expected> expected() {
+  return {
+      {single_replica(), {0x0CD890B167731103, 0x2B06694F4AC8A87B, 0xA38FC54377ED43AC, 0x5E76445F3B1716E6}},
+      {tenant_quotas(), {0x90BB3716601A8A5A, 0x7B4EA90E7C95D426, 0x0B1913C0A07F446B, 0x65D221C6BC01E4F5}},
+      {deep_tier(), {0x2791263DC4B94DCC, 0xC083E0F71AFE6170, 0x0FB130412A31A436, 0x7AEE3F67698B3323}},
+      {priced_zones(), {0xD825D29BC9B72499, 0x7FA5EF50DC8742B5, 0x689F85ACE8E14D2B, 0x1754F456FF61F15B}},
+      {slow_start(), {0xDAF774B586CC1932, 0x235290E6FA9021E9, 0x1EFE580118BC5983, 0x0EDF6600CA758981}},
+      {large_fleet(), {0x1F89CE59613D0096, 0xE5ABEF444D02424D, 0xE1449AA294F0E94A, 0xCC5E6B2C7D87F970}},
+      {watched_discovery(), {0x531E63E5CE5CC88D, 0x8EF9AED383B3BA97, 0x948D08E223E5F37B, 0xA36FD1292D8066A8}},
+      {unsteady_servers(), {0xEB7A87C8973C442A, 0x9682B3A7ADD3C662, 0x4197094E935467FD, 0xA2A56833F5F851F4}},
+      {late_answers(), {0xF1ED4A14859F993B, 0x029EC0E33D01AC85, 0x3A3C538A13538BAD, 0x5C6BB8C010AED662}},
+  };
+}
+
+// What the test is called by where its parameter is printed.
+void PrintTo(const Expected& expected, std::ostream* out) { *out << expected.scenario.name; }
+
+class DecisionDigest : public testing::TestWithParam<Expected> {};
+
+std::string hex(std::uint64_t value) {
+  std::array<char, 24> out{};
+  std::snprintf(out.data(), out.size(), "0x%016llX", static_cast<unsigned long long>(value));
+  return out.data();
+}
+
+void expect_coverage(const Scenario& scenario, const Record& record) {
+  EXPECT_GE(record.events(), 35000U);
+  EXPECT_GT(record.count_of<Send>(), 1000U);
+  EXPECT_GT(record.count_of<Refuse>(), 100U);
+  EXPECT_GT(record.count_of<Fail>(), 10U);
+  EXPECT_EQ(record.count_of<Cancel>() > 0, scenario.settings.can_cancel);
+  const bool watches = scenario.settings.must_watch || scenario.replacement.must_watch;
+  EXPECT_EQ(record.count_of<SetTimer>() > 0, watches);
+  EXPECT_EQ(record.count_of<WatchMembers>() > 0, watches);
+  for (std::size_t kind = 0; kind < record.event_kinds().size(); ++kind) {
+    EXPECT_GT(record.event_kinds()[kind], 0U) << "events of kind " << kind;
+  }
+  for (std::size_t outcome = 0; outcome < record.outcomes().size(); ++outcome) {
+    const bool possible =
+        outcome != static_cast<std::size_t>(Outcome::kCancelled) || scenario.settings.can_cancel;
+    EXPECT_EQ(record.outcomes()[outcome] > 0, possible) << "outcome " << outcome;
+  }
+  for (std::size_t form = 0; form < record.forms().size(); ++form) {
+    EXPECT_GT(record.forms()[form], 0U) << "membership updates of form " << form;
+  }
+}
+
+TEST_P(DecisionDigest, IsThatOfTheNotedCommit) {
+  const Scenario& scenario = GetParam().scenario;
+  Record record;
+  EventStream stream(scenario, [&](double now, std::size_t replica, const Balancer& balancer,
+                                   const Event& event, const std::vector<Action>& actions) {
+    record.note(now, replica, balancer, event, actions);
+  });
+  stream.run();
+  expect_coverage(scenario, record);
+  const std::vector<std::uint64_t> actual = record.checkpoints();
+  ASSERT_EQ(actual.size(), kCheckpoints);
+  std::string text;
+  for (const std::uint64_t value : actual) text += (text.empty() ? "" : ", ") + hex(value);
+  for (std::size_t i = 0; i < kCheckpoints; ++i) {
+    const std::uint64_t wanted = GetParam().checkpoints.at(i);
+    ASSERT_EQ(hex(actual[i]), hex(wanted))
+        << scenario.name << ": first differs at checkpoint " << i << "; " << record.events() << " events, "
+        << record.actions() << " actions; all digests: " << text;
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(Scenarios, DecisionDigest, testing::ValuesIn(expected()),
+                         [](const auto& info) { return info.param.scenario.name; });
+
+}  // namespace
+}  // namespace thymewood::stream
