--- a/include/nettleyoke/settings.h
+++ b/include/nettleyoke/settings.h
@@ -48,12 +48,15 @@
 
   double over_quota_weight = 1;  ///< Weight of a request beyond its tenant's quota, against one within it.
 
-  int max_attempts = 1;              ///< Attempts allowed for one request.
-  bool allow_hedging = false;        ///< Two attempts of one request may be in flight together.
-  bool can_cancel = false;           ///< CancelAttempt may be used.
-  double max_retry_after = 0;        ///< s; the longest Retry-After that clients follow. 0: they get none.
-  bool must_watch = false;           ///< Membership changes arrive only after WatchMembership.
-  double notification_deadline = 0;  ///< s after which a change counts as notified where nothing is watched.
+  int max_attempts = 1;  ///< Attempts allowed for one request.
+  /// Two attempts of one request may be in flight together. No decision reads it: this library never hedges.
+  bool allow_hedging = false;
+  bool can_cancel = false;     ///< CancelAttempt may be used.
+  double max_retry_after = 0;  ///< s; the longest Retry-After that clients follow. 0: they get none.
+  bool must_watch = false;     ///< Membership changes arrive only after WatchMembership.
+  /// s after which a change counts as notified where nothing is watched; half of it bounds the pause before a
+  /// failed watch is tried again. 0: unknown.
+  double notification_deadline = 0;
 
   double initial_capacity = 1;     ///< Part of its capacity that a server has at its start at least.
   double slow_start_duration = 0;  ///< s until a started server has all of its capacity.
--- a/src/attempt_results.cpp
+++ b/src/attempt_results.cpp
@@ -22,6 +22,25 @@
   return outcome == Outcome::kRejected || outcome == Outcome::kTimedOut || outcome == Outcome::kConnectFailed;
 }
 
+void learn_health(double now, const RequestState& request, ServerRecord& server,
+                  const AttemptResult& result) {
+  if (result.outcome == Outcome::kRejected) return;
+  const bool timed_out = result.outcome == Outcome::kTimedOut;
+  const double weight = timed_out ? request.request_class->latency.timeout_weight(result.elapsed) : 1;
+  server.outlier.record(now, result.outcome == Outcome::kSucceeded, weight);
+}
+
+// As the design has it, failures lower a tenant's limit and answers in time raise it. An ejected server
+// lowers no tenant's limit.
+void learn_rate_limit(double now, const RequestState& request, const AttemptResult& result,
+                      bool was_ejected) {
+  if (result.outcome == Outcome::kSucceeded) {
+    if (latency_ratio(request, result.elapsed) < kInTimeLatencyRatio) request.tenant->on_success(now);
+  } else if (!was_ejected && indicates_overload(result.outcome)) {
+    request.tenant->on_failure();
+  }
+}
+
 }  // namespace
 
 void Balancer::Impl::on(const ResponseStarted& started) {
@@ -68,17 +87,9 @@
                                 const AttemptResult& result) {
   if (result.outcome == Outcome::kCancelled || result.outcome == Outcome::kNotSent) return;
   const bool was_ejected = server.outlier.is_ejected(now_);
-  learn_health(request, server, result);
+  learn_health(now_, request, server, result);
   learn_latency(request, server, result);
-  learn_rate_limit(request, result, was_ejected);
-}
-
-void Balancer::Impl::learn_health(const RequestState& request, ServerRecord& server,
-                                  const AttemptResult& result) {
-  if (result.outcome == Outcome::kRejected) return;
-  const bool timed_out = result.outcome == Outcome::kTimedOut;
-  const double weight = timed_out ? request.request_class->latency.timeout_weight(result.elapsed) : 1;
-  server.outlier.record(now_, result.outcome == Outcome::kSucceeded, weight);
+  learn_rate_limit(now_, request, result, was_ejected);
 }
 
 void Balancer::Impl::learn_latency(const RequestState& request, ServerRecord& server,
@@ -105,17 +116,6 @@
   detect_overload(server);
 }
 
-// As the design has it, failures lower a tenant's limit and answers in time raise it. An ejected server
-// lowers no tenant's limit.
-void Balancer::Impl::learn_rate_limit(const RequestState& request, const AttemptResult& result,
-                                      bool was_ejected) {
-  if (result.outcome == Outcome::kSucceeded) {
-    if (latency_ratio(request, result.elapsed) < kInTimeLatencyRatio) request.tenant->on_success(now_);
-  } else if (!was_ejected && indicates_overload(result.outcome)) {
-    request.tenant->on_failure();
-  }
-}
-
 // A server that turns slow shows how many calls in flight overload the tier.
 void Balancer::Impl::detect_overload(ServerRecord& server) {
   if (!tier_limit_.is_first_tier() || !server.capacity.is_measured()) return;
--- a/src/balancer_impl.h
+++ b/src/balancer_impl.h
@@ -71,9 +71,7 @@
   void on(const ResponseStarted& started);
   void on(const AttemptResult& result);
   void learn_from(const RequestState& request, ServerRecord& server, const AttemptResult& result);
-  void learn_health(const RequestState& request, ServerRecord& server, const AttemptResult& result);
   void learn_latency(const RequestState& request, ServerRecord& server, const AttemptResult& result);
-  void learn_rate_limit(const RequestState& request, const AttemptResult& result, bool was_ejected);
   void detect_overload(ServerRecord& server);
   [[nodiscard]] bool are_servers_overloaded() const;
 
