--- a/include/nettleyoke/settings.h
+++ b/include/nettleyoke/settings.h
@@ -44,7 +44,7 @@
   int zone = 0;                  ///< The zone that this replica runs in.
   double clock_granularity = 0;  ///< s; events come at least this far apart.
   std::vector<RequestClass> classes;
-  std::vector<Tenant> tenants;  ///< Empty where traffic is not told apart.
+  std::vector<Tenant> tenants;  ///< Empty: traffic is not divided by tenant.
 
   double over_quota_weight = 1;  ///< Weight of a request beyond its tenant's quota, against one within it.
 
--- a/src/attempts/retry_budget.h
+++ b/src/attempts/retry_budget.h
@@ -10,7 +10,7 @@
 /// traffic. Owns the tokens, which all requests of the replica share.
 class RetryBudget {
  public:
-  /// Whether a retry of the request is allowed and worth it: it can be sent again, has attempts left, the
+  /// Whether a retry of the request is allowed and worthwhile: it can be sent again, has attempts left, the
   /// budget holds a token and there is time for an answer.
   [[nodiscard]] bool allows_retry(double now, const RequestState& request) const;
 
--- a/src/balancer_impl.h
+++ b/src/balancer_impl.h
@@ -23,9 +23,9 @@
 
 namespace nettleyoke {
 
-/// Owns the parts and the open requests. What is decided, and from what, is in the parts; here is in which
-/// order they are asked. balancer.cpp handles membership and settings, request_handling.cpp the requests and
-/// attempt_results.cpp how attempts end.
+/// Owns the parts and the open requests. What is decided, and from what, is in the parts; the order in which
+/// they are asked is in this class. balancer.cpp handles membership and settings, request_handling.cpp the
+/// requests and attempt_results.cpp how attempts end.
 class Balancer::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed);
--- a/src/capacity/concurrency_limits.cpp
+++ b/src/capacity/concurrency_limits.cpp
@@ -52,8 +52,8 @@
   idle_.add(now, latency_ratio);
 }
 
-// A call that was not answered, here or in a tier behind, lasts as long as it may. Without the bound, one
-// such call would make a server look as if it had turned slow.
+// A call that was not answered, by the server or by a tier behind it, lasts as long as it may. Without the
+// bound, one such call would make a server look as if it had turned slow.
 void ServerConcurrencyLimit::record_recent_latency(double latency_ratio) {
   recent_.add(idle_.is_learned() ? std::min(latency_ratio, kMaxLatencyFactor * idle_.ratio()) : latency_ratio,
               kRecentGain);
