--- a/settings_json/settings_reader.cpp
+++ b/settings_json/settings_reader.cpp
@@ -1,142 +1,97 @@
 #include "settings_reader.h"
 
+#include <stdexcept>
 #include <string>
+#include <string_view>
 
 namespace nettleyoke::json {
+namespace {
 
-const Value* find(const Value& object, const char* field) {
-  if (!object.IsObject()) throw BadMessage(std::string("not an object where field '") + field + "' belongs");
-  const auto it = object.FindMember(field);
-  return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
-}
-
-const Value& need(const Value& object, const char* field) {
-  const Value* value = find(object, field);
-  if (value == nullptr) throw BadMessage(std::string("field '") + field + "' is missing");
-  return *value;
-}
-
-[[noreturn]] void wrong(const char* field, const char* wanted) {
-  throw BadMessage(std::string("field '") + field + "' is not " + wanted);
-}
-
-double number(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsNumber()) wrong(field, "a number");
-  return value.GetDouble();
-}
-
-double number_or(const Value& object, const char* field, double otherwise) {
-  return find(object, field) == nullptr ? otherwise : number(object, field);
-}
-
-int whole(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (value.IsInt()) return value.GetInt();
-  wrong(field, "a whole number in range");
+DedupScope read_dedup_scope(const Value& object) {
+  const std::string_view word = text(object, "group");
+  if (word == "all") return DedupScope::kAll;
+  if (word == "zone") return DedupScope::kZone;
+  if (word == "cell") return DedupScope::kCell;
+  throw std::invalid_argument("categories[].group: '" + std::string(word) + "' is unknown");
 }
 
-int whole_or(const Value& object, const char* field, int otherwise) {
-  return find(object, field) == nullptr ? otherwise : whole(object, field);
+Idempotency read_idempotency(const Value& object) {
+  const std::string_view word = text(object, "effect");
+  if (word == "safe") return Idempotency::kIdempotent;
+  if (word == "keyed") return Idempotency::kIdempotencyKey;
+  if (word == "unsafe") return Idempotency::kNonIdempotent;
+  throw std::invalid_argument("categories[].effect: '" + std::string(word) + "' is unknown");
 }
 
-std::size_t index_or_zero(const Value& object, const char* field) {
-  const int value = whole_or(object, field, 0);
-  if (value < 0) wrong(field, "a whole number in range");
-  return static_cast<std::size_t>(value);
+RequestClass read_class(const Value& object) {
+  RequestClass request_class;
+  if (find(object, "name") != nullptr) request_class.name = text(object, "name");
+  request_class.latency_objective = number(object, "aim");
+  request_class.objective_growth = number_or(object, "aimStretch", 0);
+  request_class.client_timeout = number(object, "giveUp");
+  request_class.late_value = number_or(object, "lateWorth", 0);
+  request_class.idempotency = read_idempotency(object);
+  if (request_class.idempotency == Idempotency::kIdempotencyKey) {
+    request_class.dedup_scope = read_dedup_scope(object);
+    request_class.dedup_window = number_or(object, "dedupWindow", 0);
+  }
+  return request_class;
 }
 
-bool flag(const Value& object, const char* field) {
-  const Value* value = find(object, field);
-  if (value == nullptr) return false;
-  if (!value->IsBool()) wrong(field, "true or false");
-  return value->GetBool();
+Tenant read_tenant(const Value& object) {
+  Tenant tenant;
+  if (find(object, "name") != nullptr) tenant.name = text(object, "name");
+  if (find(object, "allowancePerS") != nullptr) tenant.quota = number(object, "allowancePerS");
+  return tenant;
 }
 
-std::string_view text(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsString()) wrong(field, "a string");
-  return {value.GetString(), value.GetStringLength()};
+void read_replica(const Value& object, Settings& settings) {
+  settings.replica_index = whole(object, "position");
+  settings.replica_count = whole(object, "peersTotal");
+  settings.tier = whole_or(object, "stage", 0);
+  settings.zone = whole_or(object, "zone", 0);
+  settings.clock_granularity = number_or(object, "granularity", 0);
 }
 
-std::uint64_t token(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsUint64()) wrong(field, "a whole number from 0");
-  return value.GetUint64();
+void read_classes_and_tenants(const Value& object, Settings& settings) {
+  for (const Value& item : array(object, "categories").GetArray()) {
+    settings.classes.push_back(read_class(item));
+  }
+  if (find(object, "realms") != nullptr) {
+    for (const Value& item : array(object, "realms").GetArray()) {
+      settings.tenants.push_back(read_tenant(item));
+    }
+  }
+  settings.over_quota_weight = number_or(object, "overShareWorth", 1);
 }
 
-const Value& array(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsArray()) wrong(field, "an array");
-  return value;
+void read_bounds(const Value& bounds, Settings& settings) {
+  settings.max_attempts = whole_or(bounds, "maxAttempts", 1);
+  settings.allow_hedging = flag(bounds, "secondCopies");
+  settings.can_cancel = flag(bounds, "cancel");
+  settings.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
 }
 
-namespace {
-
-RequestClass read_class(const Value& in) {
-  RequestClass out;
-  if (find(in, "name") != nullptr) out.name = text(in, "name");
-  out.latency_objective = number(in, "aim");
-  out.objective_growth = number_or(in, "aimStretch", 0);
-  out.client_timeout = number(in, "giveUp");
-  out.late_value = number_or(in, "lateWorth", 0);
-  const std::string_view idempotency = text(in, "effect");
-  if (idempotency == "safe") {
-    out.idempotency = Idempotency::kIdempotent;
-  } else if (idempotency == "keyed") {
-    out.idempotency = Idempotency::kIdempotencyKey;
-    const std::string_view group = text(in, "group");
-    if (group == "all") {
-      out.dedup_scope = DedupScope::kAll;
-    } else if (group == "zone") {
-      out.dedup_scope = DedupScope::kZone;
-    } else if (group == "cell") {
-      out.dedup_scope = DedupScope::kCell;
-    } else {
-      throw std::invalid_argument("categories[].group: '" + std::string(group) + "' is unknown");
-    }
-    out.dedup_window = number_or(in, "dedupWindow", 0);
-  } else if (idempotency == "unsafe") {
-    out.idempotency = Idempotency::kNonIdempotent;
-  } else {
-    throw std::invalid_argument("categories[].effect: '" + std::string(idempotency) + "' is unknown");
-  }
-  return out;
+void read_rules(const Value& rules, Settings& settings) {
+  settings.notification_deadline = number_or(rules, "askWithin", 0);
+  settings.initial_capacity = number_or(rules, "startCapacity", 1);
+  settings.slow_start_duration = number_or(rules, "rampTime", 0);
+  settings.overload_threshold = number_or(rules, "tipMultiple", 0);
 }
 
 }  // namespace
 
-Settings read_settings(const Value& in) {
-  Settings out;
-  out.replica_index = whole(in, "position");
-  out.replica_count = whole(in, "peersTotal");
-  out.tier = whole_or(in, "stage", 0);
-  out.zone = whole_or(in, "zone", 0);
-  out.clock_granularity = number_or(in, "granularity", 0);
-  for (const Value& item : array(in, "categories").GetArray()) out.classes.push_back(read_class(item));
-  if (find(in, "realms") != nullptr) {
-    for (const Value& item : array(in, "realms").GetArray()) {
-      Tenant tenant;
-      if (find(item, "name") != nullptr) tenant.name = text(item, "name");
-      if (find(item, "allowancePerS") != nullptr) tenant.quota = number(item, "allowancePerS");
-      out.tenants.push_back(tenant);
-    }
-  }
-  out.over_quota_weight = number_or(in, "overShareWorth", 1);
-  const Value& bounds = need(in, "bounds");
-  out.max_attempts = whole_or(bounds, "maxAttempts", 1);
-  out.allow_hedging = flag(bounds, "secondCopies");
-  out.can_cancel = flag(bounds, "cancel");
-  out.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
-  out.must_watch = find(in, "registryMode") != nullptr && text(in, "registryMode") == "subscribe";
-  if (const Value* rules = find(in, "rules")) {
-    out.notification_deadline = number_or(*rules, "askWithin", 0);
-    out.initial_capacity = number_or(*rules, "startCapacity", 1);
-    out.slow_start_duration = number_or(*rules, "rampTime", 0);
-    out.overload_threshold = number_or(*rules, "tipMultiple", 0);
-  }
-  if (const Value* fees = find(in, "fees")) out.cross_zone_cost = number_or(*fees, "crossZone", 0);
-  return out;
+// The order of the sections decides which of several errors is reported.
+Settings read_settings(const Value& object) {
+  Settings settings;
+  read_replica(object, settings);
+  read_classes_and_tenants(object, settings);
+  read_bounds(need(object, "bounds"), settings);
+  settings.must_watch =
+      find(object, "registryMode") != nullptr && text(object, "registryMode") == "subscribe";
+  if (const Value* rules = find(object, "rules")) read_rules(*rules, settings);
+  if (const Value* fees = find(object, "fees")) settings.cross_zone_cost = number_or(*fees, "crossZone", 0);
+  return settings;
 }
 
 }  // namespace nettleyoke::json
--- a/settings_json/settings_reader.h
+++ b/settings_json/settings_reader.h
@@ -1,39 +1,18 @@
-// Reads fields of JSON objects, and the settings, which the bench's wire and a real node's configuration
-// hold in the same form.
+/// Reads the settings, which the simulator's wire and a real node's configuration hold in the same form.
+///
+/// This is the one place where the words of the pages ("aim", "giveUp", "effect", "realms" …) become the
+/// terms of the code. The words are part of the wire and keep their spelling; nothing behind this reader
+/// knows them.
 #pragma once
 
-#include <cstdint>
-#include <stdexcept>
-#include <string_view>
-
-#include "nettleyoke/balancer.h"
-#include "rapidjson/document.h"
+#include "json_fields.h"
+#include "nettleyoke/settings.h"
 
 namespace nettleyoke::json {
 
-using Value = rapidjson::Value;
-
-// What is wrong with a message; the text names the field.
-struct BadMessage : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-// A field that is missing or null is not there.
-const Value* find(const Value& object, const char* field);
-const Value& need(const Value& object, const char* field);
-[[noreturn]] void wrong(const char* field, const char* wanted);
-
-double number(const Value& object, const char* field);
-double number_or(const Value& object, const char* field, double otherwise);
-int whole(const Value& object, const char* field);
-int whole_or(const Value& object, const char* field, int otherwise);
-std::size_t index_or_zero(const Value& object, const char* field);
-bool flag(const Value& object, const char* field);
-std::string_view text(const Value& object, const char* field);
-std::uint64_t token(const Value& object, const char* field);
-const Value& array(const Value& object, const char* field);
-
-// Throws BadMessage, or std::invalid_argument for a word that is not known.
-Settings read_settings(const Value& in);
+/// Reads the settings without checking their ranges, which is `validate`'s task.
+/// @throws FieldError for a field that is missing or of the wrong type.
+/// @throws std::invalid_argument for a word that isn't known, as the library does for a value out of range.
+[[nodiscard]] Settings read_settings(const Value& object);
 
 }  // namespace nettleyoke::json
