--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -23,7 +23,7 @@
 #include "nettleyoke/balancer.h"
 #include "nodes/node_under_test.h"
 #include "stand_ins/server_stand_in.h"
-#include "takeover/takeover.h"
+#include "takeover/disabled_servers.h"
 
 namespace nettleyoke::lab {
 
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -22,7 +22,8 @@
 #include "dispatcher.h"
 #include "downstream/downstream_server.h"
 #include "http/memory_budget.h"
-#include "takeover/takeover.h"
+#include "takeover/disabled_servers.h"
+#include "takeover/inherited_listener.h"
 #include "upstream/upstream_client.h"
 
 namespace {
--- /dev/null
+++ b/tests/node/disabled_servers_test.cpp
@@ -0,0 +1,91 @@
+/// The file of disabled servers, which a process of this build shares with one of an earlier build in a
+/// takeover. The earlier build is the one of commit a43169a.
+#include "takeover/disabled_servers.h"
+
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+
+#include "json_fields.h"
+
+namespace nettleyoke::node {
+namespace {
+
+using Servers = std::set<std::string>;
+
+// As a process of a43169a wrote it after DISABLE of three servers, byte for byte.
+constexpr const char* kFileOfA43169a = "{\"disabled\":[\"b\\\"ill\",\"s0\",\"z\xc3\xb6\"]}\n";
+const Servers servers_of_that_file{"b\"ill", "s0", "z\xc3\xb6"};
+
+// Bans::read of a43169a on the bytes of the file; nothing where it left the file aside.
+std::optional<Servers> read_as_a43169a(const std::string& text) {
+  rapidjson::Document in;
+  in.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (in.HasParseError() || !in.IsObject()) return std::nullopt;
+  if (!in.HasMember("disabled") || !in["disabled"].IsArray()) return std::nullopt;
+  Servers out;
+  for (const json::Value& name : in["disabled"].GetArray()) {
+    if (!name.IsString()) return std::nullopt;
+    out.emplace(name.GetString(), name.GetStringLength());
+  }
+  return out;
+}
+
+class DisabledServersFile : public testing::Test {
+ public:
+  DisabledServersFile() { std::filesystem::create_directory(directory); }
+  ~DisabledServersFile() override { std::filesystem::remove_all(directory); }
+
+ protected:
+  std::string read() const {
+    std::ifstream file(path, std::ios::binary);
+    return {std::istreambuf_iterator<char>(file), {}};
+  }
+
+  const std::string directory = testing::TempDir() + "/disabled_" + std::to_string(getpid());
+  const std::string path = directory + "/thymewood-disabled.json";
+  boost::asio::io_context io;
+  Servers notified;
+  DisabledServers servers{io, directory, [this](const Servers& all) { notified = all; }};
+};
+
+TEST_F(DisabledServersFile, FileOfEarlierBuild_Loaded_ItsServersAreDisabled) {
+  std::ofstream(path) << kFileOfA43169a;
+  servers.load();
+  EXPECT_EQ(servers.servers(), servers_of_that_file);
+  EXPECT_EQ(notified, servers_of_that_file);
+}
+
+TEST_F(DisabledServersFile, ServersDisabled_Written_EarlierBuildReadsThem) {
+  for (const std::string& name : servers_of_that_file) servers.set_disabled(name, true);
+  EXPECT_EQ(read_as_a43169a(read()), servers_of_that_file);
+  EXPECT_EQ(read(), kFileOfA43169a) << "to the byte";
+  EXPECT_TRUE(std::filesystem::exists(path + ".lock")) << "the lock that the earlier build takes";
+  servers.set_disabled("s0", false);
+  EXPECT_EQ(read_as_a43169a(read()), (Servers{"b\"ill", "z\xc3\xb6"}));
+}
+
+TEST_F(DisabledServersFile, OtherProcessHasWritten_ServerDisabled_BothChangesAreKept) {
+  servers.load();
+  std::ofstream(path) << kFileOfA43169a;
+  servers.set_disabled("s1", true);
+  Servers all = servers_of_that_file;
+  all.insert("s1");
+  EXPECT_EQ(servers.servers(), all);
+  EXPECT_EQ(read_as_a43169a(read()), all);
+}
+
+TEST_F(DisabledServersFile, FileMalformed_Loaded_ServersStay) {
+  servers.set_disabled("s0", true);
+  for (const char* text : {"", "{", "[1]", R"({"disabled":[7]})", R"({"disabled":"s1"})"}) {
+    std::ofstream(path) << text;
+    servers.load();
+    EXPECT_EQ(servers.servers(), Servers{"s0"}) << text;
+  }
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
