--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 namespace asio = boost::asio;
+using asio::ip::tcp;
 using boost::system::error_code;
-using tcp = asio::ip::tcp;
 
 // What discovery sends counts as notified so soon after it has moved.
 constexpr std::chrono::seconds kMoveGracePeriod{4};
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -22,7 +22,7 @@
 
 namespace nettleyoke::node {
 
-class DiscoveryClient : private WatchConnection::Observer {
+class DiscoveryClient final : private WatchConnection::Observer {
  public:
   /// None is called from within watch().
   struct Listener {
@@ -34,7 +34,7 @@
   /// @param seed of the jitter alone.
   DiscoveryClient(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
                   ZoneDirectory directory, const Clock& clock, std::uint64_t seed, Listener listener);
-  ~DiscoveryClient();
+  ~DiscoveryClient() override;
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
--- a/node/discovery/object_splitter.cpp
+++ b/node/discovery/object_splitter.cpp
@@ -21,12 +21,7 @@
       return Item::kEmptyLine;
     }
     line_is_empty_ = false;
-    if (!is_inside_object()) {
-      if (character != '{') return Item::kMalformed;
-      --scanned_;
-      discard_scanned();
-      ++scanned_;
-    }
+    if (!is_inside_object() && !begin_object(character)) return Item::kMalformed;
     scan_bracket(character);
     if (is_inside_object()) continue;
     object = text_.substr(0, scanned_);
@@ -37,6 +32,15 @@
   return text_.size() > kMaxObjectBytes ? Item::kMalformed : Item::kNone;
 }
 
+// Drops what stands before the object; false where the character opens none.
+bool ObjectSplitter::begin_object(char character) {
+  if (character != '{') return false;
+  --scanned_;
+  discard_scanned();
+  ++scanned_;
+  return true;
+}
+
 void ObjectSplitter::scan_string(char character) {
   if (character == '"' && !is_escaped_) is_in_string_ = false;
   is_escaped_ = character == '\\' && !is_escaped_;
--- a/node/discovery/object_splitter.h
+++ b/node/discovery/object_splitter.h
@@ -33,6 +33,7 @@
   [[nodiscard]] Item next(std::string& object);
 
  private:
+  [[nodiscard]] bool begin_object(char character);
   void scan_string(char character);
   void scan_bracket(char character);
   void discard_scanned();
--- a/node/discovery/watch_connection.h
+++ b/node/discovery/watch_connection.h
@@ -23,6 +23,11 @@
   /// Hears of the watch, until on_ended or detach(), never from within start().
   class Observer {
    public:
+    Observer() = default;
+    virtual ~Observer() = default;
+    Observer(const Observer&) = delete;
+    Observer& operator=(const Observer&) = delete;
+
     /// An object has come; false ends the watch.
     [[nodiscard]] virtual bool on_object(std::string_view object) = 0;
     /// Once, after the first object or empty line.
@@ -31,12 +36,6 @@
     virtual void on_malformed() = 0;
     /// Once, last.
     virtual void on_ended() = 0;
-
-   protected:
-    Observer() = default;
-    Observer(const Observer&) = default;
-    Observer& operator=(const Observer&) = default;
-    ~Observer() = default;
   };
 
   /// @param responds_immediately whether a call is answered at once, as by an agent that lists are pushed to.
