--- a/node/admin/admin_server.cpp
+++ b/node/admin/admin_server.cpp
@@ -1,169 +1,89 @@
 #include "admin/admin_server.h"
 
 #include <algorithm>
-#include <array>
-#include <boost/asio/buffers_iterator.hpp>
-#include <boost/asio/read_until.hpp>
-#include <boost/asio/streambuf.hpp>
-#include <boost/asio/write.hpp>
+#include <chrono>
 #include <utility>
+#include <variant>
 
-#include "clock.h"
+#include "admin/admin_command.h"
 
 namespace nettleyoke::node {
+namespace {
 
 namespace asio = boost::asio;
+using asio::ip::tcp;
 using boost::system::error_code;
-using tcp = asio::ip::tcp;
-
-namespace {
-
-constexpr std::size_t kLongestLine = 512;
-constexpr double kPatience = 2.5;      // s; for a whole line, and for the caller to take the answer
-constexpr double kLinger = 0.5;        // s; for the caller to read the answer before the connection is closed
-constexpr double kAcceptPause = 0.02;  // s; after an accept that failed
-
-std::string no(const std::string& why) { return "NO " + why + "\n"; }
-
-}  // namespace
 
-class AdminServer::Caller : public std::enable_shared_from_this<Caller> {
- public:
-  Caller(AdminServer& owner, tcp::socket socket)
-      : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
-
-  std::list<std::shared_ptr<Caller>>::iterator at;  // in the owner's list
-
-  void start() {
-    allow(kPatience);
-    asio::async_read_until(socket_, line_, '\n',
-                           [self = shared_from_this()](error_code bad, std::size_t length) {
-                             if (self->owner_ == nullptr || self->answering_) return;
-                             if (!bad) return self->reply(self->owner_->answer(self->line(length)));
-                             if (bad == asio::error::not_found) return self->reply(no("line too long"));
-                             self->incomplete();
-                           });
-  }
-  bool has_asked() {
-    error_code ignored;
-    return answering_ || socket_.available(ignored) > 0;
-  }
-  void close() {
-    AdminServer* owner = std::exchange(owner_, nullptr);
-    if (owner == nullptr) return;
-    halt(timer_);
-    error_code ignored;
-    socket_.close(ignored);
-    owner->callers_.erase(at);
-  }
-  void orphan() { owner_ = nullptr; }
-
- private:
-  void allow(double seconds) {
-    timer_.expires_after(Clock::span(seconds));
-    timer_.async_wait([self = shared_from_this()](error_code cancelled) {
-      if (cancelled || Clock::Steady::now() < self->timer_.expiry()) return;
-      if (self->answering_) return self->close();
-      self->incomplete();
-    });
-  }
+// After an accept that failed.
+constexpr std::chrono::milliseconds kAcceptPause{20};
 
-  std::string line(std::size_t length) const {
-    const auto from = asio::buffers_begin(line_.data());
-    return {from, from + static_cast<std::ptrdiff_t>(length)};
-  }
+// Turns a command into its reply.
+struct CommandHandler {
+  const AdminServer::Handlers& handlers;
 
-  // Who has said nothing is owed nothing.
-  void incomplete() {
-    if (line_.size() == 0) return close();
-    reply(no("no whole line"));
+  std::string operator()(const ReadyCommand&) const {
+    return handlers.ready() ? format_yes() : format_no("not ready");
   }
-
-  void reply(std::string text) {
-    answering_ = true;
-    answer_ = std::move(text);
-    allow(kPatience);
-    asio::async_write(socket_, asio::buffer(answer_),
-                      [self = shared_from_this()](error_code bad, std::size_t) {
-                        if (self->owner_ == nullptr) return;
-                        if (bad) return self->close();
-                        error_code ignored;
-                        self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
-                        self->allow(kLinger);
-                        self->pass_over();
-                      });
+  std::string operator()(const StatsCommand&) const { return format_stats(handlers.stats()); }
+  std::string operator()(const SetServerCommand& command) const {
+    const std::string problem = handlers.set(command.server, command.enable);
+    return problem.empty() ? format_yes() : format_no(problem);
   }
-
-  // Danger: closing with unread bytes resets the connection, and the caller may lose the answer.
-  void pass_over() {
-    socket_.async_read_some(asio::buffer(rest_), [self = shared_from_this()](error_code bad, std::size_t) {
-      if (self->owner_ == nullptr) return;
-      if (bad) return self->close();
-      self->pass_over();
-    });
-  }
-
-  AdminServer* owner_;
-  tcp::socket socket_;
-  asio::steady_timer timer_;
-  asio::streambuf line_{kLongestLine};
-  std::string answer_;
-  std::array<char, kLongestLine> rest_{};
-  bool answering_ = false;
+  std::string operator()(const MalformedCommand& command) const { return format_no(command.reason); }
 };
 
-AdminServer::AdminServer(asio::io_context& io, Handlers calls)
-    : io_(io), calls_(std::move(calls)), acceptor_(io), pause_(io) {}
+}  // namespace
+
+AdminServer::AdminServer(asio::io_context& io, Handlers handlers)
+    : io_(io), handlers_(std::move(handlers)), acceptor_(io), accept_pause_(io) {}
 
 AdminServer::~AdminServer() {
-  for (const std::shared_ptr<Caller>& caller : callers_) caller->orphan();
+  for (const std::shared_ptr<AdminConnection>& connection : connections_) connection->detach();
 }
 
-void AdminServer::listen(const tcp::endpoint& where) {
-  tcp::acceptor acceptor(io_, where);  // reuses the address
+void AdminServer::listen(const tcp::endpoint& address) {
+  tcp::acceptor acceptor(io_, address);  // reuses the address
   acceptor_ = std::move(acceptor);
   accept();
 }
 
 void AdminServer::accept() {
-  acceptor_.async_accept([this](error_code bad, tcp::socket socket) {
-    if (bad == asio::error::operation_aborted) return;
-    if (bad) {
-      pause_.expires_after(Clock::span(kAcceptPause));
-      return pause_.async_wait([this](error_code cancelled) {
-        if (!cancelled) accept();
-      });
-    }
-    // Danger: callers that say nothing stay for seconds. The one that has been there the longest makes room.
-    if (callers_.size() >= kMostCallers) {
-      const auto silent = std::find_if(callers_.begin(), callers_.end(),
-                                       [](const auto& caller) { return !caller->has_asked(); });
-      const std::shared_ptr<Caller> leaves = silent != callers_.end() ? *silent : callers_.front();
-      leaves->close();
-    }
-    const auto caller = std::make_shared<Caller>(*this, std::move(socket));
-    caller->at = callers_.insert(callers_.end(), caller);
-    caller->start();
+  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    if (error == asio::error::operation_aborted) return;
+    if (error) return accept_after_pause();
+    // Callers that send nothing stay for seconds, and must not keep others out.
+    if (connections_.size() >= kMaxConnections) evict_connection();
+    add_connection(std::move(socket));
     accept();
   });
 }
 
-std::string AdminServer::answer(std::string line) const {
-  while (!line.empty() && (line.back() == '\n' || line.back() == '\r')) line.pop_back();
-  const std::size_t space = line.find(' ');
-  const std::string call = line.substr(0, space);
-  const std::string id = space == std::string::npos ? "" : line.substr(space + 1);
-  if (call == "READY" || call == "STATS") {
-    if (space != std::string::npos) return no(call + " takes nothing more");
-    if (call == "STATS") return calls_.stats() + "\nEND\n";
-    return calls_.ready() ? "YES\n" : no("not ready");
-  }
-  if (call == "DISABLE" || call == "ENABLE") {
-    if (id.empty() || id.find(' ') != std::string::npos) return no(call + " takes one server's id");
-    const std::string problem = calls_.set(id, call == "ENABLE");
-    return problem.empty() ? "YES\n" : no(problem);
-  }
-  return no("unknown call; READY, STATS, DISABLE ID and ENABLE ID are known");
+void AdminServer::accept_after_pause() {
+  accept_pause_.expires_after(kAcceptPause);
+  accept_pause_.async_wait([this](error_code cancelled) {
+    if (!cancelled) accept();
+  });
+}
+
+void AdminServer::add_connection(tcp::socket socket) {
+  const auto place = connections_.emplace(connections_.end());
+  *place = std::make_shared<AdminConnection>(
+      std::move(socket), AdminConnection::Callbacks{[this](std::string_view line) { return reply_to(line); },
+                                                    [this, place] { connections_.erase(place); }});
+  (*place)->start();
+}
+
+// Closes the oldest connection that has sent nothing, or the oldest of all.
+void AdminServer::evict_connection() {
+  const auto silent = std::find_if(connections_.begin(), connections_.end(),
+                                   [](const auto& connection) { return !connection->has_input(); });
+  const std::shared_ptr<AdminConnection> evicted =
+      silent != connections_.end() ? *silent : connections_.front();
+  evicted->close();
+}
+
+std::string AdminServer::reply_to(std::string_view line) const {
+  return std::visit(CommandHandler{handlers_}, parse_admin_command(line));
 }
 
 }  // namespace nettleyoke::node
--- a/node/admin/metrics.cpp
+++ b/node/admin/metrics.cpp
@@ -1,38 +1,48 @@
 #include "admin/metrics.h"
 
-#include <utility>
-
 #include "rapidjson/stringbuffer.h"
 #include "rapidjson/writer.h"
 
 namespace nettleyoke::node {
+namespace {
+
+struct ResultKey {
+  const char* key;
+  RequestResult result;
+};
+constexpr ResultKey kResultKeys[] = {{"success", RequestResult::kServed},
+                                     {"busy", RequestResult::kRejected},
+                                     {"failure", RequestResult::kFailed}};
+
+struct Counter {
+  const char* key;
+  std::uint64_t count;
+};
+
+}  // namespace
 
-std::string Metrics::to_json(const Snapshot& now) const {
-  rapidjson::StringBuffer out;
-  rapidjson::Writer<rapidjson::StringBuffer> json(out);
-  json.StartObject();
-  constexpr std::pair<const char*, RequestResult> kEnds[] = {{"success", RequestResult::kServed},
-                                                             {"busy", RequestResult::kRejected},
-                                                             {"failure", RequestResult::kFailed}};
-  for (const auto& [field, end] : kEnds) {
-    json.Key(field);
-    json.StartObject();
-    for (const auto& [name, counts] : ends_) {
-      json.Key(name.data(), static_cast<rapidjson::SizeType>(name.size()));
-      json.Uint64(counts[static_cast<std::size_t>(end)]);
+std::string Metrics::to_json(const Snapshot& snapshot) const {
+  rapidjson::StringBuffer text;
+  rapidjson::Writer<rapidjson::StringBuffer> writer(text);
+  writer.StartObject();
+  for (const ResultKey& entry : kResultKeys) {
+    writer.Key(entry.key);
+    writer.StartObject();
+    for (const auto& [name, counts] : results_by_class_) {
+      writer.Key(name.data(), static_cast<rapidjson::SizeType>(name.size()));
+      writer.Uint64(counts[static_cast<std::size_t>(entry.result)]);
     }
-    json.EndObject();
+    writer.EndObject();
   }
-  const std::pair<const char*, std::uint64_t> figures[] = {
-      {"backend_calls", backend_calls_},  {"inflight", inflight_},
-      {"hosts_listed", now.hosts_listed}, {"hosts_down", now.hosts_down},
-      {"reconfig_ok", reconfig_ok_},      {"reconfig_failed", reconfig_failed_}};
-  for (const auto& [field, figure] : figures) {
-    json.Key(field);
-    json.Uint64(figure);
+  const Counter counters[] = {{"backend_calls", attempts_sent_},       {"inflight", requests_in_flight_},
+                              {"hosts_listed", snapshot.hosts_listed}, {"hosts_down", snapshot.hosts_down},
+                              {"reconfig_ok", reloads_succeeded_},     {"reconfig_failed", reloads_failed_}};
+  for (const Counter& counter : counters) {
+    writer.Key(counter.key);
+    writer.Uint64(counter.count);
   }
-  json.EndObject();
-  return {out.GetString(), out.GetSize()};
+  writer.EndObject();
+  return {text.GetString(), text.GetSize()};
 }
 
 }  // namespace nettleyoke::node
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -46,7 +46,7 @@
       sockets = std::min<std::size_t>(sockets, limit.rlim_cur);
     }
     // The loop's own, discovery, the log, the listener and a spare.
-    const std::size_t own = 24 + (operators ? node::AdminServer::kMostCallers + 1 : 0);
+    const std::size_t own = 24 + (operators ? node::AdminServer::kMaxConnections + 1 : 0);
     const std::size_t processes = successor ? 2 : 1;
     const std::size_t reserve = own * processes;
     const std::size_t free = sockets > 2 * reserve ? sockets - reserve : reserve;
