--- a/node/config.cpp
+++ b/node/config.cpp
@@ -4,7 +4,6 @@
 #include <charconv>
 #include <fstream>
 #include <iterator>
-#include <stdexcept>
 #include <string_view>
 #include <utility>
 
@@ -14,135 +13,204 @@
 namespace nettleyoke::node {
 namespace {
 
-std::uint64_t read_seed(const json::Value& in) {
-  const std::string_view digits = json::text(in, "seed");
-  std::uint64_t out = 0;
-  const auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), out, 16);
+constexpr const char* kFileVariable = "RELAY_CONFIG";
+
+// ---------------------------------------------------------------- keys
+
+void gather_keys(const json::Value& value, const std::string& path, std::set<std::string>& keys);
+
+void gather_keys_of_object(const json::Value& object, const std::string& path, std::set<std::string>& keys) {
+  for (const auto& entry : object.GetObject()) {
+    std::string key = path + (path.empty() ? "" : ".");
+    key.append(entry.name.GetString(), entry.name.GetStringLength());
+    // The known servers are for the start alone.
+    if (entry.value.IsNull() || key == "known") continue;
+    keys.insert(key);
+    gather_keys(entry.value, key, keys);
+  }
+}
+
+// Of an array, the keys that each of its items has.
+void gather_keys_of_array(const json::Value& array, const std::string& path, std::set<std::string>& keys) {
+  std::set<std::string> common;
+  for (rapidjson::SizeType i = 0; i < array.Size(); ++i) {
+    std::set<std::string> keys_of_item;
+    gather_keys(array[i], path + "[]", keys_of_item);
+    std::set<std::string> in_both;
+    std::set_intersection(common.begin(), common.end(), keys_of_item.begin(), keys_of_item.end(),
+                          std::inserter(in_both, in_both.end()));
+    common = i == 0 ? std::move(keys_of_item) : std::move(in_both);
+  }
+  keys.merge(common);
+}
+
+// Adds the paths of all keys in the value, which stands at `path` itself.
+void gather_keys(const json::Value& value, const std::string& path, std::set<std::string>& keys) {
+  if (value.IsObject()) gather_keys_of_object(value, path, keys);
+  if (value.IsArray()) gather_keys_of_array(value, path, keys);
+}
+
+// Keys that may come and go: the settings' own page says so, or they belong to some classes alone.
+bool is_optional(const std::string& key) {
+  constexpr std::string_view kOptionalKeys[] = {
+      "settings.categories[].aimStretch",  "settings.categories[].group",
+      "settings.categories[].dedupWindow", "settings.familyInfo.passesDeadline",
+      "settings.familyInfo.warmKeys",      "settings.realms[].allowancePerS"};
+  return std::find(std::begin(kOptionalKeys), std::end(kOptionalKeys), key) != std::end(kOptionalKeys);
+}
+
+// ---------------------------------------------------------------- fields
+
+std::uint64_t read_seed(const json::Value& document) {
+  constexpr int kHexadecimal = 16;
+  const std::string_view digits = json::text(document, "seed");
+  std::uint64_t seed = 0;
+  const auto [end, problem] =
+      std::from_chars(digits.data(), digits.data() + digits.size(), seed, kHexadecimal);
   if (problem != std::errc() || end != digits.data() + digits.size()) {
     json::wrong("seed", "a hexadecimal number");
   }
-  return out;
+  return seed;
 }
 
-boost::asio::ip::tcp::endpoint read_endpoint(const json::Value& in, const char* field) {
-  const auto out = parse_endpoint(json::text(in, field));
-  if (!out) json::wrong(field, "an address with a port");
-  return *out;
+boost::asio::ip::tcp::endpoint read_address(const json::Value& document, const char* field) {
+  const auto endpoint = parse_endpoint(json::text(document, field));
+  if (!endpoint) json::wrong(field, "an address with a port");
+  return *endpoint;
 }
 
-double positive(const json::Value& in, const char* field, double otherwise) {
-  const double out = json::number_or(in, field, otherwise);
-  if (!(out > 0 && out < 1e6)) json::wrong(field, "a number above 0");
-  return out;
+double read_timeout(const json::Value& bounds, const char* field, double default_seconds) {
+  constexpr double kMaxSeconds = 1e6;
+  const double seconds = json::number_or(bounds, field, default_seconds);
+  if (!(seconds > 0 && seconds < kMaxSeconds)) json::wrong(field, "a number above 0");
+  return seconds;
 }
 
-std::vector<std::string> names_of(const json::Value& list) {
-  std::vector<std::string> out;
-  for (const json::Value& item : list.GetArray()) out.emplace_back(json::text(item, "name"));
-  return out;
+std::vector<std::string> read_names(const json::Value& items) {
+  std::vector<std::string> names;
+  for (const json::Value& item : items.GetArray()) names.emplace_back(json::text(item, "name"));
+  return names;
 }
 
-// The paths of all keys; in a list those that each item has.
-void gather_keys(const json::Value& in, const std::string& path, std::set<std::string>& out) {
-  if (in.IsObject()) {
-    for (const auto& entry : in.GetObject()) {
-      std::string key = path + (path.empty() ? "" : ".");
-      key.append(entry.name.GetString(), entry.name.GetStringLength());
-      // The list of servers is told anew at each start alone.
-      if (entry.value.IsNull() || key == "known") continue;
-      out.insert(key);
-      gather_keys(entry.value, key, out);
-    }
-  } else if (in.IsArray() && !in.Empty()) {
-    std::set<std::string> common;
-    for (rapidjson::SizeType i = 0; i < in.Size(); ++i) {
-      std::set<std::string> of_item, both;
-      gather_keys(in[i], path + "[]", of_item);
-      std::set_intersection(common.begin(), common.end(), of_item.begin(), of_item.end(),
-                            std::inserter(both, both.end()));
-      common = i == 0 ? std::move(of_item) : std::move(both);
-    }
-    out.merge(common);
+std::vector<std::string> read_zones(const json::Value& settings) {
+  std::vector<std::string> zones;
+  for (const json::Value& zone : json::array(settings, "azs").GetArray()) {
+    if (!zone.IsString()) json::wrong("azs", "an array of strings");
+    zones.emplace_back(zone.GetString(), zone.GetStringLength());
   }
+  return zones;
 }
 
-// Keys that may come and go: the settings' own page says so, or they belong to some classes alone.
-bool is_optional(const std::string& key) {
-  constexpr std::string_view kOptional[] = {
-      "settings.categories[].aimStretch",  "settings.categories[].group",
-      "settings.categories[].dedupWindow", "settings.familyInfo.passesDeadline",
-      "settings.familyInfo.warmKeys",      "settings.realms[].allowancePerS"};
-  return std::find(std::begin(kOptional), std::end(kOptional), key) != std::end(kOptional);
+// ---------------------------------------------------------------- sections
+
+void read_identity(const json::Value& document, Config& config) {
+  config.name = json::find(document, "name") != nullptr ? std::string(json::text(document, "name")) : "node";
+  config.listen = read_address(document, "listen");
+  config.discovery = read_address(document, "discovery");
+  if (json::find(document, "ops") != nullptr) config.ops = read_address(document, "ops");
+  config.seed = read_seed(document);
 }
 
-}  // namespace
+void read_limits(const json::Value& document, Config& config) {
+  constexpr int kDefaultSockets = 1024;
+  constexpr int kMinSockets = 64;
+  constexpr int kDefaultMemoryMegabytes = 192;
+  constexpr int kMinMemoryMegabytes = 8;
+  constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
+  const json::Value* limits = json::find(document, "limits");
+  const auto limit = [limits](const char* field, int default_limit) {
+    return limits != nullptr ? json::whole_or(*limits, field, default_limit) : default_limit;
+  };
+  const int sockets = limit("sockets", kDefaultSockets);
+  if (sockets < kMinSockets) json::wrong("sockets", "at least 64");
+  config.descriptor_limit = static_cast<std::size_t>(sockets);
+  const int megabytes = limit("memory_mb", kDefaultMemoryMegabytes);
+  if (megabytes < kMinMemoryMegabytes) json::wrong("memory_mb", "at least 8");
+  config.memory_limit_bytes = static_cast<std::size_t>(megabytes) * kBytesPerMegabyte;
+}
 
-Config read_next_config(const std::string& path, const Clock& clock, const Config& force) {
-  Config out = read_config(path, clock);
-  for (const std::string& key : force.keys) {
-    if (!out.keys.contains(key) && !is_optional(key)) {
-      throw std::runtime_error("RELAY_CONFIG: field '" + key + "' is missing");
-    }
+void read_decision_settings(const json::Value& settings, Config& config) {
+  config.settings = json::read_settings(settings);
+  validate(config.settings);
+  config.class_names = read_names(json::array(settings, "categories"));
+  if (json::find(settings, "realms") != nullptr) {
+    config.tenant_names = read_names(json::array(settings, "realms"));
   }
-  return out;
+  if (json::find(settings, "azs") != nullptr) config.directory.zones = read_zones(settings);
 }
 
-Config read_config(const std::string& path, const Clock& clock) {
+void read_bounds(const json::Value& bounds, Config& config) {
+  constexpr double kDefaultConnectSeconds = 0.25;
+  constexpr double kDefaultIdleSeconds = 5;
+  constexpr int kDefaultOpenRequests = 20000;
+  config.connect_timeout = read_timeout(bounds, "dialTimeout", kDefaultConnectSeconds);
+  config.server_idle_timeout = read_timeout(bounds, "idleClose", kDefaultIdleSeconds);
+  const int max_open = json::whole_or(bounds, "maxOpen", kDefaultOpenRequests);
+  if (max_open < 1) json::wrong("maxOpen", "at least 1");
+  config.max_open = static_cast<std::size_t>(max_open);
+}
+
+void read_known(const json::Value& document, const Clock& clock, Config& config) {
+  const json::Value* known = json::find(document, "known");
+  if (known != nullptr) config.known = read_endpoint_list(*known, config.directory, clock);
+}
+
+// The order of the sections decides which of several errors is reported.
+Config read_document(const json::Value& document, const Clock& clock) {
+  Config config;
+  gather_keys(document, "", config.keys);
+  read_identity(document, config);
+  read_limits(document, config);
+  const json::Value& settings = json::need(document, "settings");
+  read_decision_settings(settings, config);
+  read_bounds(json::need(settings, "bounds"), config);
+  read_known(document, clock, config);
+  return config;
+}
+
+rapidjson::Document parse_file(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw std::runtime_error("RELAY_CONFIG: cannot read " + path);
+  if (!file) throw ConfigError(kFileVariable, "cannot read " + path);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
-  rapidjson::Document in;
-  in.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (in.HasParseError()) {
-    throw std::runtime_error(std::string("RELAY_CONFIG: not valid JSON: ") +
-                             rapidjson::GetParseError_En(in.GetParseError()) + " at byte " +
-                             std::to_string(in.GetErrorOffset()));
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (document.HasParseError()) {
+    throw ConfigError(kFileVariable, std::string("not valid JSON: ") +
+                                         rapidjson::GetParseError_En(document.GetParseError()) + " at byte " +
+                                         std::to_string(document.GetErrorOffset()));
   }
-  Config out;
-  gather_keys(in, "", out.keys);
-  out.name = json::find(in, "name") != nullptr ? std::string(json::text(in, "name")) : "node";
-  out.listen = read_endpoint(in, "listen");
-  out.discovery = read_endpoint(in, "discovery");
-  if (json::find(in, "ops") != nullptr) out.ops = read_endpoint(in, "ops");
-  out.seed = read_seed(in);
-  constexpr int kUsualSockets = 1024, kFewestSockets = 64;
-  const json::Value* limits = json::find(in, "limits");
-  const int sockets = limits != nullptr ? json::whole_or(*limits, "sockets", kUsualSockets) : kUsualSockets;
-  if (sockets < kFewestSockets) json::wrong("sockets", "at least 64");
-  out.sockets = static_cast<std::size_t>(sockets);
-  constexpr int kUsualMemory = 192, kLeastMemory = 8;
-  constexpr std::size_t kMega = std::size_t{1024} * 1024;
-  const int memory = limits != nullptr ? json::whole_or(*limits, "memory_mb", kUsualMemory) : kUsualMemory;
-  if (memory < kLeastMemory) json::wrong("memory_mb", "at least 8");
-  out.memory = static_cast<std::size_t>(memory) * kMega;
-
-  const json::Value& settings = json::need(in, "settings");
-  out.settings = json::read_settings(settings);
-  validate(out.settings);
-  out.class_names = names_of(json::array(settings, "categories"));
-  if (json::find(settings, "realms") != nullptr) out.tenant_names = names_of(json::array(settings, "realms"));
-  if (json::find(settings, "azs") != nullptr) {
-    for (const json::Value& zone : json::array(settings, "azs").GetArray()) {
-      if (!zone.IsString()) json::wrong("azs", "an array of strings");
-      out.directory.zones.emplace_back(zone.GetString(), zone.GetStringLength());
-    }
+  return document;
+}
+
+}  // namespace
+
+ConfigError::ConfigError(std::string field, std::string reason, const std::string& message)
+    : std::runtime_error(message), field_(std::move(field)), reason_(std::move(reason)) {}
+
+ConfigError::ConfigError(std::string field, std::string reason)
+    : std::runtime_error(field + ": " + reason), field_(std::move(field)), reason_(std::move(reason)) {}
+
+Config read_config(const std::string& path, const Clock& clock) {
+  const rapidjson::Document document = parse_file(path);
+  try {
+    return read_document(document, clock);
+  } catch (const json::FieldError& error) {
+    throw ConfigError(error.field(), error.reason(), error.what());
+  } catch (const EndpointListError& error) {
+    throw ConfigError("known", error.what());
+  } catch (const std::invalid_argument& error) {  // a value that the decision library doesn't take
+    throw ConfigError("settings", error.what(), error.what());
   }
-  const json::Value& bounds = json::need(settings, "bounds");
-  constexpr double kUsualDial = 0.25, kUsualIdle = 5;
-  out.connect_timeout = positive(bounds, "dialTimeout", kUsualDial);
-  out.server_idle_timeout = positive(bounds, "idleClose", kUsualIdle);
-  constexpr int kUsualOpen = 20000;
-  const int max_open = json::whole_or(bounds, "maxOpen", kUsualOpen);
-  if (max_open < 1) json::wrong("maxOpen", "at least 1");
-  out.max_open = static_cast<std::size_t>(max_open);
-  if (const json::Value* known = json::find(in, "known")) {
-    try {
-      out.known = read_endpoint_list(*known, out.directory, clock);
-    } catch (const std::exception& problem) {
-      throw std::runtime_error(std::string("known: ") + problem.what());
+}
+
+Config read_next_config(const std::string& path, const Clock& clock, const Config& in_force) {
+  Config next = read_config(path, clock);
+  for (const std::string& key : in_force.keys) {
+    if (!next.keys.contains(key) && !is_optional(key)) {
+      throw ConfigError(key, "is missing", std::string(kFileVariable) + ": field '" + key + "' is missing");
     }
   }
-  return out;
+  return next;
 }
 
 }  // namespace nettleyoke::node
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -180,9 +180,9 @@
     std::cerr << "nettleyoke: " << problem.what() << '\n';
     return kBadConfiguration;
   }
-  const DescriptorBudget shares(config.sockets, config.ops.has_value(), listener.has_value());
+  const DescriptorBudget shares(config.descriptor_limit, config.ops.has_value(), listener.has_value());
   const nettleyoke::Settings& settings = config.settings;
-  budget.set_limit(config.memory / kMessagePart / (listener ? 2 : 1));
+  budget.set_limit(config.memory_limit_bytes / kMessagePart / (listener ? 2 : 1));
   node::Metrics metrics;
   metrics.add_classes(config.class_names);
   node::UpstreamClient upstream(io, {config.connect_timeout, config.server_idle_timeout, shares.upstream},
