--- a/lab/checks/invariant_checker.cpp
+++ b/lab/checks/invariant_checker.cpp
@@ -13,20 +13,39 @@
 constexpr std::size_t kCallsPerClosedConnection = 200;  // one closed connection in so many calls is tolerated
 constexpr std::size_t kMaxViolationTexts = 20;
 
-// The names of the rules, as results have them.
-constexpr const char* kAnswerRule = "answer";
-constexpr const char* kLostRule = "lost";
-constexpr const char* kUnknownRule = "unknown";
-constexpr const char* kHedgingRule = "copy";
-constexpr const char* kDuplicateRule = "duplicate";
-constexpr const char* kAfterAnswerRule = "after";
-constexpr const char* kAfterDisconnectRule = "left";
-constexpr const char* kDrainRule = "drain";
-
 std::string milliseconds(double seconds) { return std::to_string(std::lround(seconds * 1000)) + " ms"; }
 
 }  // namespace
 
+// The one place where the words of results stand beside the rules.
+const char* word_for(Rule rule) {
+  switch (rule) {
+    case Rule::kOneAnswer:
+      return "answer";
+    case Rule::kFinalAnswer:
+      return "lost";
+    case Rule::kKnownRequest:
+      return "unknown";
+    case Rule::kOneAttemptInFlight:
+      return "copy";
+    case Rule::kIdempotency:
+      return "duplicate";
+    case Rule::kNothingAfterAnswer:
+      return "after";
+    case Rule::kNothingAfterDisconnect:
+      return "left";
+    case Rule::kDraining:
+      return "drain";
+    case Rule::kOneRequestPerConnection:
+      return "server";
+    case Rule::kNoCrash:
+      return "crash";
+    case Rule::kGracefulShutdown:
+      break;
+  }
+  return "end";
+}
+
 std::size_t InvariantChecker::add_node(const std::string& name) {
   nodes_.push_back(name);
   draining_since_.emplace_back();
@@ -38,9 +57,10 @@
   return servers_.size() - 1;
 }
 
-void InvariantChecker::add_violation(const std::string& rule, const std::string& text) {
-  violations_[rule] += 1;
-  if (first_violations_.size() < kMaxViolationTexts) first_violations_.push_back(rule + ": " + text);
+void InvariantChecker::add_violation(Rule rule, const std::string& text) {
+  const std::string word = word_for(rule);
+  violations_[word] += 1;
+  if (first_violations_.size() < kMaxViolationTexts) first_violations_.push_back(word + ": " + text);
 }
 
 void InvariantChecker::call_sent(const std::string& id, std::size_t node, std::size_t request_class,
@@ -57,14 +77,16 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   Call& call = found->second;
-  if (call.outcome != CallOutcome::kPending) return add_violation(kAnswerRule, id + " was answered twice");
+  if (call.outcome != CallOutcome::kPending)
+    return add_violation(Rule::kOneAnswer, id + " was answered twice");
   call.outcome = outcome;
   call.ended_at = now;
   --pending_calls_;
   if (outcome == CallOutcome::kConnectionClosed) ++closed_connections_;
   if (outcome == CallOutcome::kUnanswered) {
-    add_violation(kLostRule, id + " at " + nodes_[call.node] + ", given " + milliseconds(call.timeout) +
-                                 ", had no final answer after " + milliseconds(now - call.sent_at));
+    add_violation(Rule::kFinalAnswer, id + " at " + nodes_[call.node] + ", given " +
+                                          milliseconds(call.timeout) + ", had no final answer after " +
+                                          milliseconds(now - call.sent_at));
   }
 }
 
@@ -72,7 +94,8 @@
     const std::string& id, std::size_t server, double now, std::function<bool()> is_connected) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
-    add_violation(kUnknownRule, "'" + id + "' came to " + servers_[server] + ", and no caller sent it");
+    add_violation(Rule::kKnownRequest,
+                  "'" + id + "' came to " + servers_[server] + ", and no caller sent it");
     return std::nullopt;
   }
   Call& call = found->second;
@@ -93,8 +116,9 @@
     if (!earlier.is_connected()) {
       attempt_ended(id, index, AttemptOutcome::kAbandoned, now);
     } else if (!rules_.allow_hedging) {
-      add_violation(kHedgingRule, id + " at " + nodes_[call.node] + " has two attempts out, at " +
-                                      servers_[earlier.server] + " and another");
+      add_violation(Rule::kOneAttemptInFlight, id + " at " + nodes_[call.node] +
+                                                   " has two attempts out, at " + servers_[earlier.server] +
+                                                   " and another");
     }
   }
 }
@@ -109,10 +133,10 @@
   const auto first = std::find_if(call.attempts.begin(), call.attempts.end(), may_have_run);
   if (first == call.attempts.end()) return;
   if (spec.idempotency == Idempotency::kNonIdempotent) {
-    return add_violation(kDuplicateRule, id + ", unsafe, may have run and came again");
+    return add_violation(Rule::kIdempotency, id + ", unsafe, may have run and came again");
   }
   if (now > first->arrived_at + spec.dedup_window + kSocketSlackSeconds + event_loop_delay_) {
-    add_violation(kDuplicateRule,
+    add_violation(Rule::kIdempotency,
                   id + " came again " + milliseconds(now - first->arrived_at) + " after it may have run");
   }
 }
@@ -121,11 +145,12 @@
   if (call.outcome == CallOutcome::kPending) return;
   const double late = now - call.ended_at - kSocketSlackSeconds - event_loop_delay_;
   if (call.outcome != CallOutcome::kClientDisconnected) {
-    if (late > 0) add_violation(kAfterAnswerRule, id + " came to a server after its final answer");
+    if (late > 0) add_violation(Rule::kNothingAfterAnswer, id + " came to a server after its final answer");
   } else if (late > kDisconnectReactionSeconds &&
              ++attempts_after_disconnect_ > kMaxAttemptsAfterDisconnect) {
-    add_violation(kAfterDisconnectRule, id + " came to a server " + milliseconds(now - call.ended_at) +
-                                            " after its client had gone");
+    add_violation(
+        Rule::kNothingAfterDisconnect,
+        id + " came to a server " + milliseconds(now - call.ended_at) + " after its client had gone");
   }
 }
 
@@ -138,8 +163,8 @@
   double& latest = latest_attempt_after_notification_[server];
   latest = std::max(latest, after);
   if (after > rules_.drain_grace + kSocketSlackSeconds + event_loop_delay_) {
-    add_violation(kDrainRule, nodes_[call.node] + " sent " + id + " to " + servers_[server] + " " +
-                                  milliseconds(after) + " after it was told to send nothing new");
+    add_violation(Rule::kDraining, nodes_[call.node] + " sent " + id + " to " + servers_[server] + " " +
+                                       milliseconds(after) + " after it was told to send nothing new");
   }
 }
 
@@ -172,8 +197,9 @@
     }
   }
   if (closed_connections_ * kCallsPerClosedConnection > calls_.size()) {
-    add_violation(kLostRule, std::to_string(closed_connections_) + " of " + std::to_string(calls_.size()) +
-                                 " calls had their connection closed with no whole answer");
+    add_violation(Rule::kFinalAnswer, std::to_string(closed_connections_) + " of " +
+                                          std::to_string(calls_.size()) +
+                                          " calls had their connection closed with no whole answer");
   }
 }
 
--- a/lab/checks/invariant_checker.h
+++ b/lab/checks/invariant_checker.h
@@ -36,6 +36,24 @@
   kReset       ///< the server reset the connection
 };
 
+/// What a node must keep to.
+enum class Rule {
+  kOneAnswer,               ///< a call has one final response, and it is a server's
+  kFinalAnswer,             ///< a call has a final response in its time
+  kKnownRequest,            ///< servers get only what clients sent
+  kOneAttemptInFlight,      ///< no hedging where the settings don't allow it
+  kIdempotency,             ///< what may have run is not retried past what its class allows
+  kNothingAfterAnswer,      ///< no attempt after the final response
+  kNothingAfterDisconnect,  ///< no attempt after the client disconnected
+  kDraining,                ///< no new attempt to a draining server
+  kOneRequestPerConnection,
+  kNoCrash,
+  kGracefulShutdown
+};
+
+/// The word of results for a rule.
+const char* word_for(Rule rule);
+
 /// Records calls and attempts and counts violations of the rules. Times are seconds on the lab's clock.
 class InvariantChecker {
  public:
@@ -91,14 +109,14 @@
   void server_notified(std::size_t node, const std::string& server, bool is_usable, double at);
 
   /// Records a violation that was seen elsewhere.
-  void add_violation(const std::string& rule, const std::string& text);
+  void add_violation(Rule rule, const std::string& text);
 
   /// Ends the record: a call that is still pending has had no final response.
   void close(double now);
 
   const std::unordered_map<std::string, Call>& calls() const { return calls_; }
   std::size_t pending_calls() const { return pending_calls_; }
-  /// How often each rule was violated.
+  /// How often each rule was violated, by its word.
   const std::map<std::string, std::size_t>& violations() const { return violations_; }
   const std::vector<std::string>& first_violations() const { return first_violations_; }
   /// By server: the longest after a node was notified of its draining that it got a new attempt, in s.
--- a/lab/nodes/real_node.cpp
+++ b/lab/nodes/real_node.cpp
@@ -185,7 +185,7 @@
   if (response.status != 200) return CallOutcome::kFailed;
   // A server's response begins with the id of its request.
   if (!response.body.starts_with(call.id)) {
-    checker_.add_violation("answer", call.id + " was served with what no server made for it");
+    checker_.add_violation(Rule::kOneAnswer, call.id + " was served with what no server made for it");
   }
   return CallOutcome::kServed;
 }
--- a/lab/run/experiment_run.cpp
+++ b/lab/run/experiment_run.cpp
@@ -173,12 +173,12 @@
       NodeUnderTest& node = *fleet_.nodes()[i].node;
       const std::string& name = report_.nodes[i].name;
       if (!node.has_exited()) {
-        checker_.add_violation("end", name + " did not end after SIGTERM");
+        checker_.add_violation(Rule::kGracefulShutdown, name + " did not end after SIGTERM");
       } else if (node.exit_status() != 0 && !crashed_nodes_.contains(i)) {
-        checker_.add_violation("crash", name + " ended with " + std::to_string(node.exit_status()));
+        checker_.add_violation(Rule::kNoCrash, name + " ended with " + std::to_string(node.exit_status()));
       }
       if (node.unsolicited_responses() > 0) {
-        checker_.add_violation("answer", name + " answered what nobody asked");
+        checker_.add_violation(Rule::kOneAnswer, name + " answered what nobody asked");
       }
     }
     finish();
@@ -225,8 +225,8 @@
     for (std::size_t i = 0; i < fleet_.nodes().size(); ++i) {
       NodeUnderTest& node = *fleet_.nodes()[i].node;
       if (!node.has_exited() || !crashed_nodes_.insert(i).second) continue;
-      checker_.add_violation(
-          "crash", report_.nodes[i].name + " ended by itself with " + std::to_string(node.exit_status()));
+      checker_.add_violation(Rule::kNoCrash, report_.nodes[i].name + " ended by itself with " +
+                                                 std::to_string(node.exit_status()));
       if (phase_ == Phase::kStarting) return fail("a node ended as it started");
     }
   }
--- a/lab/stand_ins/server_connection.cpp
+++ b/lab/stand_ins/server_connection.cpp
@@ -103,7 +103,8 @@
   halt(idle_timer_);
   InvariantChecker& checker = owner_->checker_;
   if (is_processing_) {
-    return checker.add_violation("server", "two requests at once on a connection to " + owner_->name_);
+    return checker.add_violation(Rule::kOneRequestPerConnection,
+                                 "two requests at once on a connection to " + owner_->name_);
   }
   request_id_ = net::header_value(request, "X-Request-ID");
   if (request_id_.empty()) return write(net::response_text(404, kReason, ""));
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -24,8 +24,8 @@
                                                        double now) {
     return checker.attempt_arrived(id, server, now, [this] { return is_connected; });
   }
-  std::size_t violations(const std::string& rule) const {
-    const auto found = checker.violations().find(rule);
+  std::size_t violations(const std::string& word) const {
+    const auto found = checker.violations().find(word);
     return found == checker.violations().end() ? 0 : found->second;
   }
   // A call whose first attempt ends at 0.1 s and whose second arrives at `retried_at`.
