--- a/node/http/message.h
+++ b/node/http/message.h
@@ -1,4 +1,5 @@
-// The HTTP messages of a node and the bounds that both of its sides keep.
+/// @file
+/// The HTTP messages of a node and the bounds that its client side and its server side both keep.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -13,23 +14,31 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
+/// Request line and fields, without a body.
+using RequestHead = boost::beast::http::request_header<>;
 
+/// Bytes of the head of a request or a response.
 constexpr std::uint32_t kHeaderLimit = 16 * 1024;
-constexpr std::uint64_t kWholeBody = std::uint64_t{64} * 1024;  // an answer up to here is passed on whole
+/// Bytes of a body that is always passed on complete; a larger one may be streamed.
+constexpr std::uint64_t kWholeBody = std::uint64_t{64} * 1024;
+/// Bytes of the body of a request or a response.
 constexpr std::uint64_t kBodyLimit = std::uint64_t{64} * 1024 * 1024;
 
-// A request on its way to a server. Where its body is larger than is held, the rest is still to come.
+/// A request on its way to a server.
 struct OutgoingRequest {
   HttpRequest request;
+  /// Where the body comes from that `request` does not hold: it is larger than is buffered and is still
+  /// arriving. Null where `request` is complete.
   std::shared_ptr<BodyPipe> rest;
-  // Whether its client has closed its side, as far as this machine knows, though the loop may not have come
-  // to it yet. Asked just before an attempt begins.
+  /// Whether the client has closed its side, as far as this machine knows, though the event loop may not have
+  /// come to it yet. Called just before an attempt begins.
   std::function<bool()> is_abandoned = {};
-  // Whether it can be sent, or sent again: nothing of it is gone.
+
+  /// Whether it can be sent, or sent again: no part of its body has been consumed.
   bool is_complete() const { return !rest || !rest->has_been_read(); }
 };
 
-// Drops the fields that belong to one connection and not to the message.
+/// Erases the fields that belong to one connection and not to the message.
 template <typename Fields>
 void drop_hop_by_hop(Fields& fields) {
   namespace http = boost::beast::http;
