--- /dev/null
+++ b/node/downstream/client_connection.cpp
@@ -0,0 +1,341 @@
+#include "downstream/client_connection.h"
+
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <boost/asio/post.hpp>
+#include <cassert>
+#include <chrono>
+#include <optional>
+#include <span>
+#include <sstream>
+#include <string_view>
+#include <utility>
+
+#include "downstream/connection_admission.h"
+#include "downstream/connection_timeouts.h"
+#include "downstream/graceful_shutdown.h"
+#include "downstream/local_response.h"
+
+namespace nettleyoke::node {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using asio::ip::tcp;
+using boost::system::error_code;
+
+namespace {
+
+/// Bytes that are passed over after the last answer.
+constexpr std::size_t kMaxLingeredBytes = std::size_t{256} * 1024;
+
+/// Sends what the socket takes at once.
+/// @return whether that was all.
+bool send_without_waiting(tcp::socket& socket, std::string_view bytes) {
+  const ssize_t sent =
+      ::send(socket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+  return sent == static_cast<ssize_t>(bytes.size());
+}
+
+}  // namespace
+
+ClientConnection::ClientConnection(ConnectionContext& context, tcp::socket socket, Admission admission)
+    : context_(&context),
+      socket_(std::move(socket)),
+      deadline_(context.io),
+      disconnect_poll_(context.io),
+      admission_(admission),
+      reader_(context.budget) {}
+
+// ---------------------------------------------------------------- life
+
+void ClientConnection::start() {
+  set_deadline(context_->shutdown.is_closing_connections() ? kLingerTimeout : kFirstRequestTimeout);
+  start_next_request();
+}
+
+bool ClientConnection::may_follow(State from, State to) {
+  switch (to) {
+    case State::kReading:
+      return from == State::kReading || from == State::kWriting || from == State::kPausing;
+    case State::kAwaitingAnswer:
+      return from == State::kReading;
+    case State::kWriting:
+      return from == State::kReading || from == State::kAwaitingAnswer;
+    case State::kPausing:
+    case State::kLingering:
+      return from == State::kWriting;
+    case State::kClosed:
+      return from != State::kClosed;
+  }
+  return false;
+}
+
+void ClientConnection::enter(State next) {
+  assert(may_follow(state_, next));
+  state_ = next;
+}
+
+void ClientConnection::close() {
+  if (state_ == State::kClosed) return;
+  const bool is_answer_due = state_ == State::kAwaitingAnswer;
+  enter(State::kClosed);
+  eviction_place_.leave();
+  halt(deadline_);
+  halt(disconnect_poll_);
+  error_code ignored;
+  socket_.close(ignored);
+  abort_bodies();
+  ConnectionContext* context = std::exchange(context_, nullptr);
+  if (context == nullptr) return;
+  if (is_answer_due) context->dispatcher.on_client_disconnected(request_id_);
+  accounting_.end(context->metrics, RequestResult::kFailed);
+  context->admission.on_connection_closed(*this);  // this may be its end
+}
+
+void ClientConnection::detach() {
+  eviction_place_.leave();
+  abort_bodies();
+  context_ = nullptr;
+}
+
+// The other sides learn that nobody is here any more.
+void ClientConnection::abort_bodies() {
+  reader_.abort_upload();
+  writer_.close_source();
+}
+
+bool ClientConnection::is_quiet_for(Clock::Steady::duration period) const {
+  return !reader_.has_begun() && Clock::Steady::now() - quiet_since_ >= period;
+}
+
+bool ClientConnection::is_idle() const {
+  return state_ == State::kReading && !reader_.has_read_ahead() && !reader_.has_begun();
+}
+
+bool ClientConnection::is_first_request_expected() const {
+  return !has_sent_valid_request_ && !is_quiet_for(EvictionQueue::kUnprovenQuietPeriod);
+}
+
+bool ClientConnection::has_unread_bytes() {
+  error_code ignored;
+  return pending_read_ == PendingRead::kHasBytes || socket_.available(ignored) > 0;
+}
+
+void ClientConnection::evict() {
+  if (reader_.has_begun()) {
+    HttpResponse response = overload_response(context_->rules.busy_retry_after);
+    response.keep_alive(false);
+    response.prepare_payload();
+    std::ostringstream text;
+    text << response;
+    send_without_waiting(socket_, std::move(text).str());
+  }
+  close();
+}
+
+// ---------------------------------------------------------------- deadlines
+
+void ClientConnection::set_deadline(Clock::Steady::duration from_now) {
+  deadline_.expires_after(from_now);
+  deadline_.async_wait([self = shared_from_this()](error_code cancelled) {
+    if (!cancelled && Clock::Steady::now() >= self->deadline_.expiry()) self->on_deadline();
+  });
+}
+
+void ClientConnection::shorten_deadline() {
+  if (state_ == State::kReading || state_ == State::kPausing) set_deadline(kLingerTimeout);
+}
+
+void ClientConnection::on_deadline() {
+  if (context_ == nullptr) return;
+  // The last turn before a node closes its connections may have read the next request already.
+  const bool is_closing = context_->shutdown.is_closing_connections();
+  if (state_ == State::kPausing && (!is_closing || reader_.has_read_ahead())) {
+    set_deadline(is_closing ? kLingerTimeout : kIdleTimeout);
+    return start_next_request();
+  }
+  if (state_ == State::kReading && reader_.has_begun()) {
+    return reject({http::status::request_timeout, "request too slow"}, Framing::kLost);
+  }
+  // What has come in this very instant is read next.
+  if (state_ == State::kReading && has_unread_bytes()) return set_deadline(kLingerTimeout);
+  if (state_ != State::kAwaitingAnswer || reader_.is_uploading()) close();
+}
+
+// ---------------------------------------------------------------- reading
+
+void ClientConnection::start_next_request() {
+  enter(State::kReading);
+  quiet_since_ = Clock::Steady::now();
+  reader_.start_request();
+  if (reader_.has_read_ahead() && has_disconnected()) return close();
+  parse_read_ahead();
+  if (state_ == State::kReading) {
+    track_as_evictable();
+    if (!reader_.has_begun()) reader_.shrink_read_ahead();
+  }
+  read();  // the request may have come out of what was read ahead, and made room
+}
+
+void ClientConnection::track_as_evictable() {
+  EvictionQueue& queue = context_->admission.eviction_queue();
+  if (has_sent_valid_request_) {
+    if (!reader_.has_begun()) queue.add(EvictionQueue::Kind::kIdle, *this, eviction_place_);
+  } else if (!eviction_place_.is_taken()) {
+    queue.add(EvictionQueue::Kind::kUnproven, *this, eviction_place_);
+  }
+}
+
+void ClientConnection::read() {
+  if (pending_read_ != PendingRead::kNone || state_ == State::kClosed) return;
+  if (!reader_.has_room_for_read()) return poll_disconnect();
+  // What has come already is read at once and handed over in a later turn of the loop. Up to then it is
+  // neither in the socket nor in the reader, and the connection would look idle.
+  pending_read_ = has_unread_bytes() ? PendingRead::kHasBytes : PendingRead::kWaiting;
+  socket_.async_read_some(reader_.receive_buffer(),
+                          [self = shared_from_this()](error_code error, std::size_t size) {
+                            self->pending_read_ = PendingRead::kNone;
+                            self->on_read(error, size);
+                          });
+}
+
+void ClientConnection::on_read(error_code error, std::size_t size) {
+  if (context_ == nullptr || state_ == State::kClosed) return;
+  // A client that closes its side has gone, whatever it still has a right to.
+  if (error) {
+    is_disconnected_ = true;
+    if (state_ != State::kWriting || writer_.is_relaying()) close();
+    return;
+  }
+  if (state_ == State::kLingering) return skip_lingering_bytes(size);
+  reader_.append_received(size);
+  if (state_ == State::kReading || reader_.is_uploading()) parse_read_ahead();
+  read();
+}
+
+void ClientConnection::skip_lingering_bytes(std::size_t size) {
+  lingered_bytes_ += size;
+  if (lingered_bytes_ > (is_request_incomplete_ ? kBodyLimit : kMaxLingeredBytes)) return close();
+  read();
+}
+
+// While nothing is read, no read tells of a client that disconnects.
+void ClientConnection::poll_disconnect() {
+  if (is_polling_disconnect_ || state_ != State::kAwaitingAnswer) return;
+  is_polling_disconnect_ = true;
+  disconnect_poll_.expires_after(kDisconnectPollInterval);
+  disconnect_poll_.async_wait([self = shared_from_this()](error_code) {
+    self->is_polling_disconnect_ = false;
+    if (self->context_ == nullptr || self->state_ != State::kAwaitingAnswer) return;
+    if (self->has_disconnected()) return self->close();
+    self->read();
+  });
+}
+
+// Also behind bytes that are not read yet.
+bool ClientConnection::has_disconnected() {
+  if (is_disconnected_) return true;
+  pollfd socket_state{socket_.native_handle(), POLLRDHUP, 0};
+  return ::poll(&socket_state, 1, 0) > 0 && (socket_state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+}
+
+// What a client wrote before it left is read before its end is, and may have waited for long: in the
+// listener's queue while there was no room, or in a loop that runs late. It would be forwarded for nobody.
+bool ClientConnection::is_abandoned() {
+  if (state_ != State::kAwaitingAnswer) return true;
+  if (!has_disconnected()) return false;
+  asio::post(socket_.get_executor(), [weak = weak_from_this()] {
+    const auto self = weak.lock();
+    if (self && self->state_ == State::kAwaitingAnswer) self->close();
+  });
+  return true;
+}
+
+// Up to the end of one request, or as far as there is room for its body.
+void ClientConnection::parse_read_ahead() {
+  while ((state_ == State::kReading || reader_.has_writable_upload()) && reader_.has_read_ahead()) {
+    if (reader_.mark_begun()) on_request_begun();
+    const RequestReader::ParseStep step = reader_.parse_step(context_->body_chunk);
+    if (step.error) return reject(*step.error, Framing::kLost);
+    if (step.is_head_completed && !accept_head()) return;
+    if (!accept_body(step.body_bytes)) return;
+    if (reader_.is_complete()) return reader_.is_uploading() ? finish_upload() : handle_request();
+    if (step.consumed_bytes == 0) return;
+  }
+}
+
+// The first request's time runs from the accept.
+void ClientConnection::on_request_begun() {
+  if (!has_sent_valid_request_) return;
+  eviction_place_.leave();
+  set_deadline(kRequestHeadTimeout);
+}
+
+// Checks what the head says of the body, before the body has come.
+bool ClientConnection::accept_head() {
+  if (is_length_ambiguous(reader_.head())) {
+    reject({http::status::bad_request, "ambiguous length"}, Framing::kLost);
+    return false;
+  }
+  if (boost::beast::iequals(reader_.head()[http::field::expect], "100-continue") && !send_continue()) {
+    close();
+    return false;
+  }
+  reader_.start_body_clock();
+  return true;
+}
+
+// A write that is still pending when the answer's begins would mix with it. Nothing else is being written
+// now, so that so few bytes are sent at once or not at all.
+bool ClientConnection::send_continue() {
+  return send_without_waiting(socket_, "HTTP/1.1 100 Continue\r\n\r\n");
+}
+
+// Buffers or streams so many bytes of the body; false where the request is not read on.
+bool ClientConnection::accept_body(std::size_t size) {
+  reader_.store_body(std::span<const char>(context_->body_chunk).first(size));
+  if (reader_.is_head_complete() && !reader_.is_complete()) {
+    set_deadline(Clock::span(reader_.time_for_next_body_bytes().count()));
+  }
+  if (reader_.is_uploading()) {
+    if (!reader_.has_writable_upload()) wait_for_upload();
+    return true;
+  }
+  switch (reader_.place_body()) {
+    case RequestReader::BodyPlacement::kBuffered:
+      return true;
+    case RequestReader::BodyPlacement::kStreamed:
+      reader_.start_upload(context_->io);
+      handle_request();
+      return reader_.is_uploading();
+    case RequestReader::BodyPlacement::kRejected:
+      is_keep_alive_ = false;
+      reject_overload();
+      return false;
+  }
+  return false;
+}
+
+// The server is slower than the client, whose deadline rests: it can't help it.
+void ClientConnection::wait_for_upload() {
+  halt(deadline_);
+  reader_.upload()->when_writable([weak = weak_from_this()] {
+    const auto self = weak.lock();
+    if (!self || self->context_ == nullptr || !self->reader_.is_uploading()) return;
+    if (self->reader_.upload()->is_reader_closed()) return;  // the answer is on its way
+    self->set_deadline(kMaxBodyPause);
+    self->parse_read_ahead();
+    self->read();
+  });
+}
+
+void ClientConnection::finish_upload() {
+  if (has_disconnected()) return close();  // so that the server never has the complete request
+  halt(deadline_);
+  reader_.finish_upload();
+  accounting_.start(context_->metrics);
+  context_->dispatcher.on_body_complete(request_id_);
+}
+
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/node/downstream/client_connection_requests.cpp
@@ -0,0 +1,218 @@
+// How a client's connection has its requests dispatched, and writes the answers.
+#include <algorithm>
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "downstream/client_connection.h"
+#include "downstream/connection_admission.h"
+#include "downstream/connection_timeouts.h"
+#include "downstream/graceful_shutdown.h"
+#include "downstream/local_response.h"
+
+namespace nettleyoke::node {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using asio::ip::tcp;
+using boost::system::error_code;
+
+// ---------------------------------------------------------------- requests
+
+void ClientConnection::handle_request() {
+  HttpRequest request = reader_.take_request();
+  is_keep_alive_ = request.keep_alive();
+  if (path_of(request) == "/_health") return answer_health_check(request.method());
+  Request event;
+  if (const auto error = validate(request, event)) {
+    return reject(*error, reader_.is_uploading() ? Framing::kLost : Framing::kIntact);
+  }
+  has_sent_valid_request_ = true;
+  accounting_.accept(context_->rules.catalog.class_names[event.request_class]);
+  if (!reader_.is_uploading()) accounting_.start(context_->metrics);
+  const auto forwarded = std::make_shared<ForwardedRequest>(context_->budget);
+  reader_.reserve_with_answer(0);  // the body's memory goes with the request
+  if (!forwarded->reserve_for(request)) return reject_overload();
+  if (context_->shutdown.is_draining()) {
+    event.time_left = std::min(event.time_left, context_->shutdown.time_until_last_answer().count());
+  }
+  if (must_reject(event)) return reject_overload();
+  forward(std::move(request), std::move(event), forwarded);
+}
+
+void ClientConnection::answer_health_check(http::verb method) {
+  if (method != http::verb::get && method != http::verb::head) {
+    return reject({http::status::method_not_allowed, "GET only"}, Framing::kLost);
+  }
+  has_sent_valid_request_ = true;
+  const bool is_ready = context_->dispatcher.can_serve() && !context_->shutdown.is_draining();
+  respond(is_ready ? text_response(http::status::ok, "ok\n")
+                   : text_response(http::status::service_unavailable, "not ready\n"));
+}
+
+std::optional<RequestError> ClientConnection::validate(const HttpRequest& request, Request& event) const {
+  const RequestRules& rules = context_->rules;
+  const AcceptedClasses accepted = Clock::Steady::now() < rules.previous_classes_accepted_until
+                                       ? AcceptedClasses::kInForceOrPrevious
+                                       : AcceptedClasses::kInForce;
+  if (auto error = validate_request(request, rules.catalog, accepted, event)) return error;
+  if (!context_->dispatcher.is_open(event.id)) return std::nullopt;
+  return RequestError{http::status::bad_request, "X-Request-ID is that of an open request"};
+}
+
+bool ClientConnection::must_reject(const Request& event) const {
+  const bool is_last_free_connection = context_->shutdown.is_draining() &&
+                                       !context_->admission.is_listener_inherited() &&
+                                       context_->admission.is_short_of_free_connections();
+  return admission_ == Admission::kRejected || is_last_free_connection || event.time_left <= 0;
+}
+
+void ClientConnection::forward(HttpRequest&& request, Request&& event,
+                               const std::shared_ptr<ForwardedRequest>& forwarded) {
+  request_id_ = event.id;
+  rewrite_for_server(request, reader_.upload().get());
+  forwarded->outgoing.request = std::move(request);
+  forwarded->outgoing.rest = reader_.upload();
+  forwarded->outgoing.is_abandoned = [weak = weak_from_this()] {
+    const auto self = weak.lock();
+    return !self || self->is_abandoned();
+  };
+  enter(State::kAwaitingAnswer);
+  eviction_place_.leave();
+  if (!reader_.is_uploading()) halt(deadline_);
+  context_->dispatcher.accept(std::move(event), {forwarded, &forwarded->outgoing},
+                              [weak = weak_from_this()](FinalAnswer&& answer) {
+                                if (const auto self = weak.lock()) self->on_answer(std::move(answer));
+                              });
+}
+
+// ---------------------------------------------------------------- answers
+
+void ClientConnection::on_answer(FinalAnswer&& answer) {
+  if (state_ != State::kAwaitingAnswer || context_ == nullptr) return;
+  switch (answer.kind) {
+    case FinalAnswer::Kind::kServed:
+      drop_hop_by_hop(answer.response);
+      if (answer.body) return relay(std::move(answer));
+      return respond(std::move(answer.response));
+    case FinalAnswer::Kind::kRejected:
+      return respond(overload_response(answer.retry_after));
+    case FinalAnswer::Kind::kFailed:
+      return respond(text_response(http::status::bad_gateway, "failed\n"));
+  }
+}
+
+// An error of the client's. After one that leaves the framing in doubt nothing more is read as requests.
+void ClientConnection::reject(const RequestError& error, Framing framing) {
+  if (framing == Framing::kLost) is_keep_alive_ = false;
+  // Its body went wrong on the way.
+  if (state_ == State::kAwaitingAnswer) context_->dispatcher.on_client_disconnected(request_id_);
+  is_pause_due_ = true;
+  respond(text_response(error.status, std::string(error.reason) + "\n"));
+}
+
+void ClientConnection::reject_overload() { respond(overload_response(context_->rules.busy_retry_after)); }
+
+// Whatever the answer is, it is the end of the request.
+void ClientConnection::begin_answer() {
+  if (has_sent_valid_request_) eviction_place_.leave();
+  enter(State::kWriting);
+  accounting_.start(context_->metrics);
+  is_request_incomplete_ = !reader_.is_complete() && reader_.is_head_complete();
+  if (is_request_incomplete_) is_keep_alive_ = false;
+  abort_bodies();
+  const GracefulShutdown& shutdown = context_->shutdown;
+  if (shutdown.is_closing_connections() || shutdown.is_handing_over() || admission_ == Admission::kRejected) {
+    is_keep_alive_ = false;
+  }
+}
+
+void ClientConnection::respond(HttpResponse&& response) {
+  begin_answer();
+  reader_.reserve_with_answer(response.body().size());
+  writer_.prepare(std::move(response), is_keep_alive_);
+  set_deadline(kWriteTimeout);
+  writer_.async_write(socket_, [self = shared_from_this()](error_code error, std::size_t) {
+    if (self->context_ == nullptr || self->state_ != State::kWriting) return;
+    if (error) return self->close();
+    self->on_response_written();
+  });
+}
+
+void ClientConnection::on_response_written() {
+  accounting_.end(context_->metrics, result_of(writer_.status()));
+  writer_.release();
+  reader_.reserve_with_answer(0);
+  if (is_disconnected_) return close();
+  if (!is_keep_alive_) return linger();
+  if (std::exchange(is_pause_due_, false)) {
+    // A client that sends the same error again and again at full speed would take the loop from the others:
+    // it is read from now and then.
+    enter(State::kPausing);
+    return set_deadline(kErrorPause);
+  }
+  // A connection that stays open when the process is killed is lost together with what was sent on it by
+  // then.
+  set_deadline(context_->shutdown.is_closing_connections() ? kLingerTimeout : kIdleTimeout);
+  start_next_request();
+}
+
+// Passes a large answer on as it comes.
+void ClientConnection::relay(FinalAnswer&& answer) {
+  begin_answer();
+  is_keep_alive_ = writer_.prepare_relay(std::move(answer.response), std::move(answer.body),
+                                         reader_.head().version(), is_keep_alive_);
+  set_deadline(kWriteTimeout);
+  writer_.async_write_head(
+      socket_, [self = shared_from_this()](error_code error, std::size_t) { self->relay_next(error); });
+}
+
+void ClientConnection::relay_next(error_code error) {
+  if (context_ == nullptr || state_ != State::kWriting || !writer_.is_relaying()) return;
+  if (error && error != http::error::need_buffer) return close();
+  const ResponseWriter::Chunk chunk = writer_.next_chunk();
+  if (chunk == ResponseWriter::Chunk::kAborted) return abort_response();
+  if (chunk == ResponseWriter::Chunk::kNotYet) {
+    halt(deadline_);  // it is the server that is waited for
+    return writer_.when_chunk_available([weak = weak_from_this()] {
+      if (const auto self = weak.lock()) self->relay_next({});
+    });
+  }
+  const bool is_last = chunk == ResponseWriter::Chunk::kEnd;
+  set_deadline(kWriteTimeout);
+  writer_.async_write_chunk(socket_, [self = shared_from_this(), is_last](error_code problem, std::size_t) {
+    is_last ? self->on_relay_written(problem) : self->relay_next(problem);
+  });
+}
+
+void ClientConnection::on_relay_written(error_code error) {
+  if (context_ == nullptr || state_ != State::kWriting) return;
+  if (error) return close();
+  writer_.finish_relay();
+  on_response_written();
+}
+
+// The server gave up in the midst. Where the end of the connection is that of the answer, an orderly close
+// would pass the part for the complete answer: the connection is reset.
+void ClientConnection::abort_response() {
+  error_code ignored;
+  socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+  close();
+}
+
+// Closing with unread bytes resets the connection, and the client may lose the answer: what still comes is
+// read for a while.
+void ClientConnection::linger() {
+  enter(State::kLingering);
+  // With a buffer that is full nothing more would be read, and the close would reset the connection.
+  reader_.discard_read_ahead();
+  error_code error;
+  socket_.shutdown(tcp::socket::shutdown_send, error);
+  if (error) return close();
+  set_deadline(is_request_incomplete_ ? kIncompleteRequestLingerTimeout : kLingerTimeout);
+  read();
+}
+
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/node/downstream/connection_admission.cpp
@@ -0,0 +1,160 @@
+#include "downstream/connection_admission.h"
+
+#include <fcntl.h>
+#include <unistd.h>
+
+#include <boost/asio/post.hpp>
+#include <chrono>
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "downstream/graceful_shutdown.h"
+
+namespace nettleyoke::node {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+
+namespace {
+
+constexpr int kListenBacklog = 1024;
+/// After a failed accept.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{20};
+/// One in so many connections is kept free in a graceful shutdown.
+constexpr std::size_t kConnectionsPerFreeOne = 4;
+
+}  // namespace
+
+ConnectionAdmission::ConnectionAdmission(const Limits& limits, ConnectionContext& context)
+    : context_(context), io_(context.io), acceptor_(io_), retry_timer_(io_), limits_(limits) {
+  reserve_descriptor();
+}
+
+ConnectionAdmission::~ConnectionAdmission() {
+  for (const std::shared_ptr<ClientConnection>& connection : connections_) connection->detach();
+  release_reserved_descriptor();
+}
+
+void ConnectionAdmission::listen(const tcp::endpoint& address) {
+  tcp::acceptor acceptor(io_, address.protocol());
+  acceptor.set_option(tcp::acceptor::reuse_address(true));
+  acceptor.bind(address);
+  acceptor.listen(kListenBacklog);
+  acceptor_ = std::move(acceptor);
+}
+
+void ConnectionAdmission::serve_on_inherited_listener(int listener) {
+  acceptor_.assign(tcp::v4(), listener);
+  is_listener_inherited_ = true;
+}
+
+void ConnectionAdmission::leave_inherited_listener() {
+  error_code ignored;
+  acceptor_.close(ignored);
+}
+
+void ConnectionAdmission::accept() {
+  if (is_stopping_) return stop_accepting();
+  if (is_accept_pending_ || !acceptor_.is_open() || !has_descriptors()) return;
+  is_accept_pending_ = true;
+  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    is_accept_pending_ = false;
+    if (error == asio::error::operation_aborted) return;
+    if (error) return on_accept_failed();
+    admit(std::move(socket));
+    accept();
+  });
+}
+
+// Handles an accept that failed for want of a descriptor: a listener that stays readable with nothing
+// accepted would spin, and clients in its queue would wait in vain. An evictable connection is closed, or
+// else the reserved descriptor takes one client in, to be rejected: its request may have come already. The
+// system reports the missing descriptor also while the queue is empty. Then the reserved descriptor is taken
+// back at once; left free, it would admit the next client as one that can be served, and leave its attempts
+// without a descriptor.
+void ConnectionAdmission::on_accept_failed() {
+  const bool has_evicted = eviction_queue_.evict_one();
+  if (!has_evicted) release_reserved_descriptor();
+  error_code error;
+  tcp::socket socket(io_);
+  acceptor_.non_blocking(true, error);
+  acceptor_.accept(socket, error);
+  if (error) {
+    reserve_descriptor();
+  } else if (has_evicted) {
+    admit(std::move(socket));
+  } else {
+    add_connection(std::move(socket), ClientConnection::Admission::kRejected);
+  }
+  retry_timer_.expires_after(kAcceptRetryDelay);
+  retry_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) accept();
+  });
+}
+
+void ConnectionAdmission::admit(tcp::socket socket) {
+  const bool is_full = connections_.size() >= limits_.connections && !eviction_queue_.evict_one();
+  add_connection(std::move(socket),
+                 is_full ? ClientConnection::Admission::kRejected : ClientConnection::Admission::kAdmitted);
+}
+
+void ConnectionAdmission::add_connection(tcp::socket socket, ClientConnection::Admission admission) {
+  error_code ignored;
+  socket.set_option(tcp::no_delay(true), ignored);
+  const auto connection = std::make_shared<ClientConnection>(context_, std::move(socket), admission);
+  connection->set_position(connections_.insert(connections_.end(), connection));
+  connection->start();
+}
+
+void ConnectionAdmission::on_connection_closed(const ClientConnection& connection) {
+  connections_.erase(connection.position());
+  reserve_descriptor();
+  context_.shutdown.finish_if_drained();
+  if (!is_stopping_) return accept();
+  asio::post(io_, [this] { accept(); });  // this may be from within the loop of stop_accepting()
+}
+
+// What waits in the queue when the listener closes is reset, whatever has been written to it: it closes once
+// the queue is empty, and goes on as descriptors come free.
+void ConnectionAdmission::stop_accepting() {
+  is_stopping_ = true;
+  error_code error;
+  acceptor_.non_blocking(true, error);
+  while (acceptor_.is_open() && (has_descriptors() || eviction_queue_.evict_one())) {
+    tcp::socket socket(io_);
+    acceptor_.accept(socket, error);
+    if (error == asio::error::would_block) acceptor_.close(error);
+    if (error) return on_accept_failed();
+    if (socket.is_open()) admit(std::move(socket));
+  }
+  context_.shutdown.finish_if_drained();
+}
+
+void ConnectionAdmission::close_idle_connections() {
+  std::vector<std::shared_ptr<ClientConnection>> idle;
+  for (const std::shared_ptr<ClientConnection>& connection : connections_) {
+    if (connection->is_idle() && !connection->is_first_request_expected() &&
+        !connection->has_unread_bytes()) {
+      idle.push_back(connection);
+    } else {
+      connection->shorten_deadline();
+    }
+  }
+  for (const std::shared_ptr<ClientConnection>& connection : idle) connection->close();
+}
+
+bool ConnectionAdmission::is_short_of_free_connections() const {
+  return eviction_queue_.size() < connections_.size() / kConnectionsPerFreeOne;
+}
+
+void ConnectionAdmission::reserve_descriptor() {
+  if (reserved_descriptor_ < 0) reserved_descriptor_ = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
+}
+
+void ConnectionAdmission::release_reserved_descriptor() {
+  if (reserved_descriptor_ >= 0) ::close(std::exchange(reserved_descriptor_, -1));
+}
+
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/node/downstream/forwarded_request.cpp
@@ -0,0 +1,29 @@
+#include "downstream/forwarded_request.h"
+
+namespace nettleyoke::node {
+
+namespace {
+
+/// About what a request holds besides its body.
+constexpr std::size_t kRequestOverheadBytes = 1024;
+
+}  // namespace
+
+bool ForwardedRequest::reserve_for(const HttpRequest& request) {
+  return reservation.try_resize(kRequestOverheadBytes + request.body().capacity());
+}
+
+void rewrite_for_server(HttpRequest& request, const BodyPipe* upload) {
+  drop_hop_by_hop(request);
+  request.erase("X-Timeout-Ms");
+  if (upload == nullptr) {
+    request.prepare_payload();
+  } else if (const auto length = upload->length()) {
+    request.content_length(*length);
+  } else {
+    request.chunked(true);
+  }
+  request.version(11);
+}
+
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/node/downstream/request_reader.cpp
@@ -0,0 +1,144 @@
+#include "downstream/request_reader.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "downstream/connection_timeouts.h"
+
+namespace nettleyoke::node {
+
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using Seconds = std::chrono::duration<double>;
+
+namespace {
+
+/// Half of what the slowest of those that are owed an answer send.
+constexpr double kMinBodyBytesPerSecond = 32e3;
+/// Before that rate is asked for.
+constexpr Seconds kBodyRateGrace{1.5};
+/// A body that comes at this rate does not occupy a server for long.
+constexpr double kFastBodyBytesPerSecond = 1e6;
+/// Bytes of a body that are buffered, while there is memory, before a server is called. A client that takes
+/// seconds to send would occupy a server, and count as a request in flight, for as long.
+constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{1} * 1024 * 1024;
+/// A slow client's body is buffered while less than this fraction of the memory is in use, a fast one's while
+/// less than the other is.
+constexpr double kSlowBodyMemoryFraction = 0.75;
+constexpr double kFastBodyMemoryFraction = 0.25;
+/// Bytes that may wait to be parsed: a complete head, or as much of requests that came before their turn.
+constexpr std::size_t kMaxReadAheadBytes = kHeaderLimit + RequestReader::kReadBytes;
+/// Bytes of read-ahead that an idle connection may keep allocated.
+constexpr std::size_t kMaxIdleReadAheadBytes = RequestReader::kReadBytes;
+
+std::optional<RequestError> to_request_error(const error_code& error) {
+  // The parser has consumed all it can use for now, or has filled the chunk.
+  if (!error || error == http::error::need_more || error == http::error::need_buffer) return std::nullopt;
+  if (error == http::error::body_limit) {
+    return RequestError{http::status::payload_too_large, "body too large"};
+  }
+  if (error == http::error::header_limit) {
+    return RequestError{http::status::request_header_fields_too_large, "header too large"};
+  }
+  return RequestError{http::status::bad_request, "malformed request"};
+}
+
+}  // namespace
+
+void RequestReader::append_received(std::size_t size) {
+  const boost::asio::mutable_buffer space = read_ahead_.prepare(size);
+  std::copy_n(received_.begin(), size, static_cast<char*>(space.data()));
+  read_ahead_.commit(size);
+}
+
+bool RequestReader::has_room_for_read() const {
+  return read_ahead_.size() <= kMaxReadAheadBytes - kReadBytes && (!upload_ || upload_->is_writable());
+}
+
+void RequestReader::discard_read_ahead() {
+  read_ahead_.clear();
+  read_ahead_.shrink_to_fit();
+}
+
+void RequestReader::shrink_read_ahead() {
+  if (read_ahead_.capacity() > kMaxIdleReadAheadBytes) read_ahead_.shrink_to_fit();
+  reserve_with_answer(0);
+}
+
+void RequestReader::start_request() {
+  has_begun_ = false;
+  parser_.emplace();
+  parser_->header_limit(kHeaderLimit);
+  parser_->body_limit(kBodyLimit);
+  // When eager, this parser skips its own body limit if the head and a part of the body come together, and a
+  // length of gigabytes would then be accepted.
+  parser_->eager(false);
+  body_.clear();
+  received_body_bytes_ = 0;
+}
+
+RequestReader::ParseStep RequestReader::parse_step(std::span<char> chunk) {
+  http::buffer_body::value_type& body = parser_->get().body();
+  body.data = chunk.data();
+  body.size = chunk.size();
+  body.more = true;
+  const bool had_head = parser_->is_header_done();
+  error_code error;
+  ParseStep step;
+  step.consumed_bytes = parser_->put(read_ahead_.data(), error);
+  read_ahead_.consume(step.consumed_bytes);
+  step.error = to_request_error(error);
+  step.is_head_completed = parser_->is_header_done() && !had_head;
+  step.body_bytes = chunk.size() - body.size;
+  return step;
+}
+
+void RequestReader::store_body(std::span<const char> bytes) {
+  received_body_bytes_ += bytes.size();
+  if (upload_) {
+    upload_->write(bytes.data(), bytes.size());
+  } else {
+    body_.append(bytes.data(), bytes.size());
+  }
+}
+
+double RequestReader::seconds_since_head() const {
+  return Seconds(Clock::Steady::now() - head_completed_at_).count();
+}
+
+Seconds RequestReader::time_for_next_body_bytes() const {
+  const double owed = kBodyRateGrace.count() +
+                      static_cast<double>(received_body_bytes_) / kMinBodyBytesPerSecond -
+                      seconds_since_head();
+  return std::min(Seconds(kMaxBodyPause), Seconds(owed));
+}
+
+RequestReader::BodyPlacement RequestReader::place_body() {
+  const bool is_reserved = reservation_.try_resize(read_ahead_.capacity() + body_.capacity());
+  if (is_reserved && body_.size() <= body_buffer_limit()) return BodyPlacement::kBuffered;
+  if (is_complete()) return is_reserved ? BodyPlacement::kBuffered : BodyPlacement::kRejected;
+  return body_.size() <= kWholeBody ? BodyPlacement::kRejected : BodyPlacement::kStreamed;
+}
+
+std::size_t RequestReader::body_buffer_limit() const {
+  const bool is_slow =
+      static_cast<double>(received_body_bytes_) < kFastBodyBytesPerSecond * seconds_since_head();
+  return budget_.is_under(is_slow ? kSlowBodyMemoryFraction : kFastBodyMemoryFraction) ? kMaxBufferedBodyBytes
+                                                                                       : kWholeBody;
+}
+
+void RequestReader::start_upload(boost::asio::io_context& io) {
+  const auto length = parser_->content_length();
+  upload_ =
+      std::make_shared<BodyPipe>(io, budget_, length ? std::optional<std::uint64_t>(*length) : std::nullopt);
+}
+
+HttpRequest RequestReader::take_request() {
+  HttpRequest request;
+  request.base() = parser_->get().base();
+  request.body() = std::move(body_);
+  body_ = {};
+  return request;
+}
+
+}  // namespace nettleyoke::node
--- a/node/downstream/request_validation.h
+++ b/node/downstream/request_validation.h
@@ -1,44 +1,42 @@
-// What callers may ask: pure functions on one request.
+/// @file
+/// Decides whether a request is well-formed for the catalog and reads it into an event of the decision
+/// library. Pure functions on one request; no state, no sockets.
 #pragma once
 
 #include <optional>
-#include <string>
 #include <string_view>
-#include <vector>
 
+#include "downstream/request_catalog.h"
 #include "http/message.h"
 #include "nettleyoke/balancer.h"
 
 namespace nettleyoke::node {
 
-// What a request may name, from the settings.
-struct RequestCatalog {
-  std::vector<std::string> class_names, tenant_names;
-  std::vector<RequestClass> classes;
-  // So many of the classes are in force. Those behind them were before: callers learn of a change late.
-  std::size_t in_force = 0;
+/// Why a request is answered with an error of the client's (4xx).
+struct RequestError {
+  boost::beast::http::status status;
+  /// The body of the answer, without a line's end; a string literal.
+  const char* reason;
 };
 
-// The classes of `settings`, and behind them those of `before` that were in force and have gone or changed,
-// which are added to the settings too: the module knows classes by their place.
-RequestCatalog next_catalog(const RequestCatalog& before, std::vector<std::string> class_names,
-                            std::vector<std::string> tenant_names, Settings& settings);
-
-// Why a request is turned down.
-struct Rejected {
-  boost::beast::http::status status;
-  const char* text;
+/// The classes of the catalog that a request may name.
+enum class AcceptedClasses {
+  kInForce,
+  kInForceOrPrevious,  ///< shortly after a reload: also those that were in force before it
 };
 
-// The path without its query.
+/// The request's path without its query.
 std::string_view path_of(const HttpRequest& request);
 
-// Whether the head leaves open where the body ends.
-bool is_length_ambiguous(const HttpRequest& request);
+/// Whether the head leaves open where the body ends. Two ways to tell the length may hide a second request in
+/// the body.
+[[nodiscard]] bool is_length_ambiguous(const RequestHead& head);
 
-// Fills in the event, or says what is wrong with the request. With `late`, one that would have been in order
-// by the classes before is so still.
-std::optional<Rejected> read_request(const HttpRequest& request, const RequestCatalog& catalog, bool late,
-                                     Request& event);
+/// Reads a request into `event`: class, id, time left, tenant, retry mark and work.
+/// @param event  filled in; its content is unspecified where an error is returned.
+/// @return what is wrong with the request by the classes in force, or nothing.
+[[nodiscard]] std::optional<RequestError> validate_request(const HttpRequest& request,
+                                                           const RequestCatalog& catalog,
+                                                           AcceptedClasses accepted, Request& event);
 
 }  // namespace nettleyoke::node
