--- /dev/null
+++ b/tests/node/eviction_queue_test.cpp
@@ -0,0 +1,129 @@
+// Which connection is closed for another, without sockets.
+#include "downstream/eviction_queue.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace nettleyoke::node {
+namespace {
+
+using std::chrono::milliseconds;
+
+class FakeConnection final : public EvictableConnection {
+ public:
+  explicit FakeConnection(milliseconds quiet_for) : quiet_for_(quiet_for) {}
+  bool is_quiet_for(std::chrono::steady_clock::duration period) const override {
+    return quiet_for_ >= period;
+  }
+  bool has_unread_bytes() override { return has_unread_bytes_; }
+  void evict() override {
+    is_evicted_ = true;
+    place_.leave();
+  }
+
+  void receive_bytes() { has_unread_bytes_ = true; }
+  bool is_evicted() const { return is_evicted_; }
+  EvictionQueue::Place& place() { return place_; }
+
+ private:
+  milliseconds quiet_for_;
+  bool has_unread_bytes_ = false;
+  bool is_evicted_ = false;
+  EvictionQueue::Place place_;
+};
+
+class EvictionQueueTest : public ::testing::Test {
+ protected:
+  void add_unproven(FakeConnection& connection) {
+    queue_.add(EvictionQueue::Kind::kUnproven, connection, connection.place());
+  }
+  void add_idle(FakeConnection& connection) {
+    queue_.add(EvictionQueue::Kind::kIdle, connection, connection.place());
+  }
+  EvictionQueue queue_;
+};
+
+TEST_F(EvictionQueueTest, EmptyQueueEvictsNone) { EXPECT_FALSE(queue_.evict_one()); }
+
+TEST_F(EvictionQueueTest, QuietUnprovenConnectionGoesBeforeAnIdleOne) {
+  FakeConnection unproven(milliseconds(500));
+  FakeConnection idle(milliseconds(9000));
+  add_idle(idle);
+  add_unproven(unproven);
+  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(unproven.is_evicted());
+  EXPECT_FALSE(idle.is_evicted());
+}
+
+TEST_F(EvictionQueueTest, LongIdleConnectionGoesBeforeOneWhoseFirstRequestMayBeOnItsWay) {
+  FakeConnection unproven(milliseconds(499));
+  FakeConnection idle(milliseconds(2000));
+  add_unproven(unproven);
+  add_idle(idle);
+  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(idle.is_evicted());
+}
+
+TEST_F(EvictionQueueTest, NewUnprovenConnectionGoesBeforeOneThatIsIdleForLessThanItsPeriod) {
+  FakeConnection unproven(milliseconds(0));
+  FakeConnection idle(milliseconds(1999));
+  add_unproven(unproven);
+  add_idle(idle);
+  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(unproven.is_evicted());
+}
+
+TEST_F(EvictionQueueTest, BrieflyIdleConnectionGoesWhenThereIsNoOther) {
+  FakeConnection idle(milliseconds(0));
+  add_idle(idle);
+  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(idle.is_evicted());
+  EXPECT_EQ(queue_.size(), 0U);
+}
+
+TEST_F(EvictionQueueTest, OldestOfSeveralGoesFirst) {
+  FakeConnection first(milliseconds(600));
+  FakeConnection second(milliseconds(600));
+  add_unproven(first);
+  add_unproven(second);
+  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(first.is_evicted());
+  EXPECT_FALSE(second.is_evicted());
+}
+
+TEST_F(EvictionQueueTest, ConnectionWithUnreadBytesStays) {
+  FakeConnection first(milliseconds(600));
+  FakeConnection second(milliseconds(600));
+  add_unproven(first);
+  add_unproven(second);
+  first.receive_bytes();
+  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(second.is_evicted());
+  EXPECT_FALSE(queue_.evict_one());
+  EXPECT_FALSE(first.is_evicted());
+}
+
+TEST_F(EvictionQueueTest, ConnectionAddedAgainMovesToTheEndOfItsNewList) {
+  FakeConnection moved(milliseconds(9000));
+  FakeConnection other(milliseconds(9000));
+  add_unproven(moved);
+  add_idle(other);
+  add_idle(moved);
+  EXPECT_EQ(queue_.size(), 2U);
+  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(other.is_evicted());
+}
+
+TEST_F(EvictionQueueTest, ConnectionThatLeftIsNotEvictedAndMayLeaveAgain) {
+  FakeConnection connection(milliseconds(9000));
+  add_idle(connection);
+  EXPECT_TRUE(connection.place().is_taken());
+  connection.place().leave();
+  connection.place().leave();
+  EXPECT_FALSE(connection.place().is_taken());
+  EXPECT_FALSE(queue_.evict_one());
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/tests/node/memory_budget_test.cpp
@@ -0,0 +1,77 @@
+// The bytes of messages that a node holds, without connections.
+#include "http/memory_budget.h"
+
+#include <gtest/gtest.h>
+
+namespace nettleyoke::node {
+namespace {
+
+class MemoryBudgetTest : public ::testing::Test {
+ protected:
+  MemoryBudgetTest() { budget_.set_limit(100); }
+  MemoryBudget budget_;
+};
+
+TEST_F(MemoryBudgetTest, ReservationUpToTheLimitSucceeds) {
+  MemoryBudget::Reservation reservation(budget_);
+  EXPECT_TRUE(reservation.try_resize(100));
+  EXPECT_EQ(budget_.used(), 100U);
+}
+
+TEST_F(MemoryBudgetTest, ReservationBeyondTheLimitFailsAndKeepsWhatItHad) {
+  MemoryBudget::Reservation reservation(budget_);
+  ASSERT_TRUE(reservation.try_resize(40));
+  EXPECT_FALSE(reservation.try_resize(101));
+  EXPECT_EQ(budget_.used(), 40U);
+}
+
+TEST_F(MemoryBudgetTest, ReservationsOfSeveralHoldersAddUpToOneLimit) {
+  MemoryBudget::Reservation first(budget_);
+  MemoryBudget::Reservation second(budget_);
+  ASSERT_TRUE(first.try_resize(60));
+  EXPECT_FALSE(second.try_resize(41));
+  EXPECT_TRUE(second.try_resize(40));
+}
+
+TEST_F(MemoryBudgetTest, EndOfAReservationGivesItsBytesBack) {
+  {
+    MemoryBudget::Reservation reservation(budget_);
+    ASSERT_TRUE(reservation.try_resize(70));
+  }
+  EXPECT_EQ(budget_.used(), 0U);
+}
+
+TEST_F(MemoryBudgetTest, ResizeOfBytesThatAreThereAlreadyExceedsTheLimit) {
+  MemoryBudget::Reservation reservation(budget_);
+  reservation.resize(150);
+  EXPECT_EQ(budget_.used(), 150U);
+  MemoryBudget::Reservation other(budget_);
+  EXPECT_FALSE(other.try_resize(1));
+}
+
+TEST_F(MemoryBudgetTest, ShrinkSucceedsWhileTheBudgetIsExceeded) {
+  MemoryBudget::Reservation reservation(budget_);
+  reservation.resize(150);
+  EXPECT_FALSE(reservation.try_resize(151));
+  EXPECT_TRUE(reservation.try_resize(120));
+  EXPECT_EQ(budget_.used(), 120U);
+}
+
+TEST_F(MemoryBudgetTest, LimitSetBelowWhatIsInUseRejectsGrowthOnly) {
+  MemoryBudget::Reservation reservation(budget_);
+  ASSERT_TRUE(reservation.try_resize(80));
+  budget_.set_limit(50);
+  EXPECT_FALSE(reservation.try_resize(81));
+  EXPECT_TRUE(reservation.try_resize(80));
+}
+
+TEST_F(MemoryBudgetTest, UseAtTheFractionIsNotUnderIt) {
+  MemoryBudget::Reservation reservation(budget_);
+  reservation.resize(24);
+  EXPECT_TRUE(budget_.is_under(0.25));
+  reservation.resize(25);
+  EXPECT_FALSE(budget_.is_under(0.25));
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/tests/node/request_catalog_test.cpp
@@ -0,0 +1,70 @@
+// The classes that requests may name after a reload, without a reload.
+#include "downstream/request_catalog.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace nettleyoke::node {
+namespace {
+
+using Names = std::vector<std::string>;
+
+RequestClass class_with_timeout(double client_timeout) {
+  RequestClass request_class;
+  request_class.client_timeout = client_timeout;
+  return request_class;
+}
+
+const RequestCatalog kBefore{{"read", "write"}, {"acme"}, {class_with_timeout(1), class_with_timeout(2)}, 2};
+
+RequestCatalog catalog_after(const RequestCatalog& before, Names names, Settings& settings) {
+  return next_catalog(before, std::move(names), {}, settings);
+}
+
+TEST(NextCatalog, UnchangedClassesStandThereOnce) {
+  Settings settings;
+  settings.classes = kBefore.classes;
+  const RequestCatalog next = catalog_after(kBefore, {"read", "write"}, settings);
+  EXPECT_EQ(next.class_names, (Names{"read", "write"}));
+  EXPECT_EQ(next.in_force, 2U);
+  EXPECT_EQ(settings.classes.size(), 2U);
+}
+
+TEST(NextCatalog, ReorderedClassesCountAsUnchanged) {
+  Settings settings;
+  settings.classes = {kBefore.classes[1], kBefore.classes[0]};
+  EXPECT_EQ(catalog_after(kBefore, {"write", "read"}, settings).class_names.size(), 2U);
+}
+
+TEST(NextCatalog, RemovedClassFollowsThoseInForceAndIsAddedToTheSettings) {
+  Settings settings;
+  settings.classes = {class_with_timeout(2)};
+  const RequestCatalog next = catalog_after(kBefore, {"write"}, settings);
+  EXPECT_EQ(next.class_names, (Names{"write", "read"}));
+  EXPECT_EQ(next.in_force, 1U);
+  ASSERT_EQ(settings.classes.size(), 2U);
+  EXPECT_EQ(settings.classes[1].client_timeout, 1);
+}
+
+TEST(NextCatalog, ChangedClassStandsThereWithItsNewAndItsPreviousValues) {
+  Settings settings;
+  settings.classes = {class_with_timeout(9), class_with_timeout(2)};
+  const RequestCatalog next = catalog_after(kBefore, {"read", "write"}, settings);
+  EXPECT_EQ(next.class_names, (Names{"read", "write", "read"}));
+  EXPECT_EQ(next.classes[0].client_timeout, 9);
+  EXPECT_EQ(next.classes[2].client_timeout, 1);
+}
+
+TEST(NextCatalog, ClassThatWasNotInForceAnyMoreIsDroppedByTheNextReload) {
+  RequestCatalog before = kBefore;
+  before.in_force = 1;
+  Settings settings;
+  settings.classes = {class_with_timeout(1)};
+  EXPECT_EQ(catalog_after(before, {"read"}, settings).class_names, (Names{"read"}));
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/tests/node/request_validation_test.cpp
@@ -0,0 +1,193 @@
+// What a request may look like, without a connection.
+#include "downstream/request_validation.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace nettleyoke::node {
+namespace {
+
+namespace http = boost::beast::http;
+
+RequestClass class_of(Idempotency idempotency, double client_timeout) {
+  RequestClass request_class;
+  request_class.client_timeout = client_timeout;
+  request_class.idempotency = idempotency;
+  return request_class;
+}
+
+/// `read` and `write` are in force, `old` was before.
+RequestCatalog catalog() {
+  return {{"read", "write", "pay", "old"},
+          {"acme", "zenith"},
+          {class_of(Idempotency::kIdempotent, 2), class_of(Idempotency::kNonIdempotent, 3),
+           class_of(Idempotency::kIdempotencyKey, 4), class_of(Idempotency::kIdempotent, 5)},
+          3};
+}
+
+HttpRequest request_of(const std::string& request_class, http::verb method) {
+  HttpRequest request(method, "/" + request_class + "/item?x=1", 11);
+  request.set("X-Priority-Class", request_class);
+  request.set("X-Request-ID", "id-1");
+  return request;
+}
+
+HttpRequest read_request() { return request_of("read", http::verb::get); }
+
+/// The reason why a request is rejected; empty where it is valid.
+std::string reason_of(const HttpRequest& request, AcceptedClasses accepted = AcceptedClasses::kInForce) {
+  Request event;
+  const auto error = validate_request(request, catalog(), accepted, event);
+  return error ? error->reason : "";
+}
+
+Request event_of(const HttpRequest& request, AcceptedClasses accepted = AcceptedClasses::kInForce) {
+  Request event;
+  EXPECT_FALSE(validate_request(request, catalog(), accepted, event));
+  return event;
+}
+
+TEST(RequestValidation, ValidRequestIsReadIntoTheEvent) {
+  HttpRequest request = read_request();
+  request.set("X-Tenant-Id", "zenith");
+  request.set("X-Retried", "1");
+  request.set("X-Cost", "1500");
+  const Request event = event_of(request);
+  EXPECT_EQ(event.id, "id-1");
+  EXPECT_EQ(event.request_class, 0U);
+  EXPECT_EQ(event.tenant, 1U);
+  EXPECT_TRUE(event.is_client_retry);
+  EXPECT_DOUBLE_EQ(event.work.value_or(0), 1.5e-3);
+  EXPECT_EQ(event.time_left, 2);
+}
+
+TEST(RequestValidation, UnknownTenantIsThatPastTheLast) { EXPECT_EQ(event_of(read_request()).tenant, 2U); }
+
+TEST(RequestValidation, CostThatIsNoNumberIsIgnored) {
+  HttpRequest request = read_request();
+  request.set("X-Cost", "12x");
+  EXPECT_FALSE(event_of(request).work);
+}
+
+TEST(RequestValidation, PathOfNoClassWithoutAClassFieldIsNotFound) {
+  HttpRequest request(http::verb::get, "/nowhere", 11);
+  Request event;
+  const auto error = validate_request(request, catalog(), AcceptedClasses::kInForce, event);
+  ASSERT_TRUE(error);
+  EXPECT_EQ(error->status, http::status::not_found);
+}
+
+TEST(RequestValidation, ClassThatIsMissingUnknownTwiceOrNotThatOfThePathIsRejected) {
+  HttpRequest request = read_request();
+  request.erase("X-Priority-Class");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is missing");
+  request.set("X-Priority-Class", "other");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is unknown");
+  request.set("X-Priority-Class", "write");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is not that of the path");
+  request.insert("X-Priority-Class", "write");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is unknown");
+}
+
+TEST(RequestValidation, TargetThatIsNoPathIsRejected) {
+  HttpRequest request = read_request();
+  request.target("*");
+  EXPECT_EQ(reason_of(request), "not a path");
+}
+
+TEST(RequestValidation, RequestIdOfUpTo128BytesIsAccepted) {
+  HttpRequest request = read_request();
+  request.set("X-Request-ID", std::string(128, 'a'));
+  EXPECT_EQ(reason_of(request), "");
+  request.set("X-Request-ID", std::string(129, 'a'));
+  EXPECT_EQ(reason_of(request), "X-Request-ID is missing or unfit");
+  request.erase("X-Request-ID");
+  EXPECT_EQ(reason_of(request), "X-Request-ID is missing or unfit");
+}
+
+TEST(RequestValidation, TimeoutOfTheClientIsBoundedByThatOfTheClass) {
+  HttpRequest request = read_request();
+  request.set("X-Timeout-Ms", "250");
+  EXPECT_EQ(event_of(request).time_left, 0.25);
+  request.set("X-Timeout-Ms", "999999999");
+  EXPECT_EQ(event_of(request).time_left, 2);
+}
+
+TEST(RequestValidation, TimeoutOfZeroOrTenDigitsOrNoNumberIsRejected) {
+  HttpRequest request = read_request();
+  for (const char* const timeout : {"0", "1000000000", "-1", "1.5", ""}) {
+    request.set("X-Timeout-Ms", timeout);
+    EXPECT_EQ(reason_of(request), "X-Timeout-Ms is not a number of milliseconds") << timeout;
+  }
+}
+
+TEST(RequestValidation, MethodThatDoesNotFitTheClassIsRejected) {
+  EXPECT_EQ(reason_of(request_of("read", http::verb::post)), "GET without a body only");
+  EXPECT_EQ(reason_of(request_of("write", http::verb::get)), "POST only");
+  EXPECT_EQ(reason_of(request_of("write", http::verb::post)), "");
+  HttpRequest with_body = read_request();
+  with_body.body() = "x";
+  EXPECT_EQ(reason_of(with_body), "GET without a body only");
+}
+
+TEST(RequestValidation, IdempotencyKeyIsRequiredByItsClassAndRejectedByOthers) {
+  HttpRequest pay = request_of("pay", http::verb::post);
+  EXPECT_EQ(reason_of(pay), "Idempotency-Key does not fit the class");
+  pay.set("Idempotency-Key", "");
+  EXPECT_EQ(reason_of(pay), "Idempotency-Key does not fit the class");
+  pay.set("Idempotency-Key", "k");
+  EXPECT_EQ(reason_of(pay), "");
+  HttpRequest write = request_of("write", http::verb::post);
+  write.set("Idempotency-Key", "k");
+  EXPECT_EQ(reason_of(write), "Idempotency-Key does not fit the class");
+}
+
+TEST(RequestValidation, PreviousClassIsAcceptedShortlyAfterAReloadOnly) {
+  const HttpRequest request = request_of("old", http::verb::get);
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is unknown");
+  const Request event = event_of(request, AcceptedClasses::kInForceOrPrevious);
+  EXPECT_EQ(event.request_class, 3U);
+  EXPECT_EQ(event.time_left, 5);
+}
+
+TEST(RequestValidation, InvalidRequestIsRejectedByTheClassesInForceAlsoAfterAReload) {
+  EXPECT_EQ(reason_of(request_of("read", http::verb::post), AcceptedClasses::kInForceOrPrevious),
+            "GET without a body only");
+}
+
+TEST(RequestValidation, PathEndsAtTheQuery) { EXPECT_EQ(path_of(read_request()), "/read/item"); }
+
+TEST(RequestLength, OneLengthOrChunkedOrNeitherIsUnambiguous) {
+  HttpRequest request = read_request();
+  EXPECT_FALSE(is_length_ambiguous(request));
+  request.set(http::field::content_length, "12");
+  EXPECT_FALSE(is_length_ambiguous(request));
+  request.erase(http::field::content_length);
+  request.set(http::field::transfer_encoding, "chunked");
+  EXPECT_FALSE(is_length_ambiguous(request));
+}
+
+TEST(RequestLength, ListOfLengthsIsAmbiguous) {
+  HttpRequest request = read_request();
+  request.set(http::field::content_length, "12, 12");
+  EXPECT_TRUE(is_length_ambiguous(request));
+  request.set(http::field::content_length, "12");
+  request.insert(http::field::content_length, "12");
+  EXPECT_TRUE(is_length_ambiguous(request));
+}
+
+TEST(RequestLength, ChunkedBesideALengthOrAnotherCodingOrInHttp10IsAmbiguous) {
+  HttpRequest request = read_request();
+  request.set(http::field::transfer_encoding, "gzip, chunked");
+  EXPECT_TRUE(is_length_ambiguous(request));
+  request.set(http::field::transfer_encoding, "chunked");
+  request.set(http::field::content_length, "12");
+  EXPECT_TRUE(is_length_ambiguous(request));
+  request.erase(http::field::content_length);
+  request.version(10);
+  EXPECT_TRUE(is_length_ambiguous(request));
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
