--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -157,7 +157,7 @@
 void Dispatcher::withdraw(const std::string& id) {
   const auto at = held_.find(id);
   if (at == held_.end()) return;
-  for (const UpstreamClient::AttemptHandle& attempt : at->second.attempts) upstream_.withdraw_unsent(attempt);
+  for (const AttemptHandle& attempt : at->second.attempts) upstream_.withdraw_unsent(attempt);
 }
 
 void Dispatcher::on_endpoint_list(const EndpointList& update) {
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -74,7 +74,7 @@
     double until = 0;      // when attempts end, a margin before the client gives up
     double time_left = 0;  // from the last byte of the request
     std::unique_ptr<boost::asio::steady_timer> guard;
-    std::vector<UpstreamClient::AttemptHandle> attempts;
+    std::vector<AttemptHandle> attempts;
     std::vector<bool> open;
     std::vector<std::string> servers;  // of the attempts
     double since = 0;                  // when it was taken
--- /dev/null
+++ b/node/upstream/server_connection.cpp
@@ -0,0 +1,88 @@
+#include "upstream/server_connection.h"
+
+#include <utility>
+
+#include "http/socket_helpers.h"
+#include "upstream/server_pool.h"
+
+namespace nettleyoke::node {
+namespace {
+
+using boost::asio::ip::tcp;
+using boost::system::error_code;
+
+// A connection is dropped after this fraction of the server's idle timeout. A request written to it just as
+// the server closes it ends as a reset, which a non-idempotent class can't retry.
+constexpr double kIdleTimeoutFraction = 0.85;
+constexpr std::size_t kMaxIdleBufferBytes = 4096;
+
+}  // namespace
+
+ServerConnection::ServerConnection(boost::asio::io_context& io, std::shared_ptr<ServerPool> pool)
+    : socket_(io), timer_(io), pool_(std::move(pool)) {}
+
+void ServerConnection::connect(const tcp::endpoint& endpoint, double timeout) {
+  endpoint_ = endpoint;
+  timer_.expires_after(Clock::span(timeout));
+  timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+    if (!cancelled && !self->pool_->is_client_closed()) self->pool_->on_connected(self, false);
+  });
+  socket_.async_connect(endpoint, [self = shared_from_this()](error_code problem) {
+    if (!self->pool_->is_client_closed()) self->pool_->on_connected(self, !problem);
+  });
+}
+
+bool ServerConnection::finish_connecting() {
+  if (state_ != State::kConnecting) return false;
+  state_ = State::kInUse;
+  halt(timer_);
+  return true;
+}
+
+void ServerConnection::disable_nagle() {
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+}
+
+void ServerConnection::start_idling(Clock::Steady::time_point reusable_at, double idle_timeout) {
+  state_ = State::kIdle;
+  reusable_at_ = reusable_at;
+  idle_generation_ += 1;
+  const auto end = [self = shared_from_this(), generation = idle_generation_](error_code cancelled) {
+    if (!cancelled && !self->pool_->is_client_closed() && self->is_idle() &&
+        self->idle_generation_ == generation) {
+      self->pool_->drop(self);
+    }
+  };
+  timer_.expires_after(Clock::span(idle_timeout * kIdleTimeoutFraction));
+  timer_.async_wait(end);
+  socket_.async_wait(tcp::socket::wait_read, end);
+}
+
+void ServerConnection::stop_idling() {
+  state_ = State::kInUse;
+  idle_generation_ += 1;
+  halt(timer_);
+  error_code ignored;
+  socket_.cancel(ignored);  // the wait for the server's close
+}
+
+void ServerConnection::close() {
+  state_ = State::kClosed;
+  halt(timer_);
+  error_code ignored;
+  socket_.close(ignored);
+}
+
+// On a core that others share the event loop may have seen neither the timer nor the close yet.
+bool ServerConnection::is_healthy(Clock::Steady::time_point now) {
+  return timer_.expiry() > now && !is_readable(socket_);
+}
+
+bool ServerConnection::has_unexpected_input() { return buffer_.size() > 0 || is_readable(socket_); }
+
+void ServerConnection::trim_buffer() {
+  if (buffer_.capacity() > kMaxIdleBufferBytes) buffer_.shrink_to_fit();
+}
+
+}  // namespace nettleyoke::node
