--- /dev/null
+++ b/node/dispatch/in_flight_request.cpp
@@ -0,0 +1,60 @@
+#include "dispatch/in_flight_request.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace nettleyoke::node {
+
+InFlightRequest::InFlightRequest(std::shared_ptr<const OutgoingRequest> message, AnswerCallback callback,
+                                 std::size_t request_class, double time_left, double now)
+    : message_(std::move(message)),
+      callback_(std::move(callback)),
+      accepted_at_(now),
+      time_left_(time_left),
+      history_(request_class, time_left) {}
+
+bool InFlightRequest::has_open_attempts() const {
+  return std::any_of(attempts_.begin(), attempts_.end(),
+                     [](const Attempt& attempt) { return attempt.is_open; });
+}
+
+void InFlightRequest::set_end(double end, std::unique_ptr<boost::asio::steady_timer> fallback_timer) {
+  attempts_end_at_ = kMargin.attempts_end(end, time_left_);
+  fallback_timer_ = std::move(fallback_timer);
+}
+
+bool InFlightRequest::is_due_after(double bound) const {
+  return !is_completed() && fallback_timer_ && attempts_end_at_ + kMargin.of(time_left_) > bound;
+}
+
+double InFlightRequest::time_for_attempt(double now) const {
+  return std::min(attempts_end_at_ - now, time_left_ - kMargin.of(time_left_));
+}
+
+std::size_t InFlightRequest::add_attempt(const std::string& server) {
+  attempts_.push_back({server});
+  return attempts_.size() - 1;
+}
+
+void InFlightRequest::set_attempt_handle(std::size_t number, AttemptHandle handle) {
+  attempts_[number].handle = std::move(handle);
+}
+
+void InFlightRequest::record_attempt(std::size_t number, Outcome outcome, double elapsed) {
+  history_.add_attempt(attempts_[number].server, outcome, elapsed);
+}
+
+void InFlightRequest::answer(FinalAnswer&& answer, double now) {
+  const AnswerCallback callback = std::exchange(callback_, nullptr);
+  fallback_timer_.reset();
+  history_.add_answer(answer.kind, now - accepted_at_);
+  callback(std::move(answer));
+}
+
+void InFlightRequest::abandon(double now) {
+  callback_ = nullptr;
+  fallback_timer_.reset();
+  history_.add_client_disconnect(now - accepted_at_);
+}
+
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/node/dispatch/request_log.cpp
@@ -0,0 +1,83 @@
+#include "dispatch/request_log.h"
+
+#include <cmath>
+
+namespace nettleyoke::node {
+namespace {
+
+constexpr double kMillisecondsPerSecond = 1000;
+
+std::string milliseconds(double seconds) {
+  return std::to_string(std::lround(seconds * kMillisecondsPerSecond)) + " ms";
+}
+
+const char* name_of(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::kSucceeded:
+      return "answered";
+    case Outcome::kServerError:
+      return "error";
+    case Outcome::kRejected:
+      return "rejected";
+    case Outcome::kTimedOut:
+      return "timed out";
+    case Outcome::kConnectFailed:
+      return "could not connect";
+    case Outcome::kReset:
+      return "reset";
+    case Outcome::kCancelled:
+      return "cancelled";
+    case Outcome::kNotSent:
+      return "not sent";
+    case Outcome::kUnknown:
+      return "unreadable answer";
+  }
+  return "unknown";
+}
+
+const char* name_of(FinalAnswer::Kind kind) {
+  switch (kind) {
+    case FinalAnswer::Kind::kServed:
+      return "served";
+    case FinalAnswer::Kind::kRejected:
+      return "rejected";
+    case FinalAnswer::Kind::kFailed:
+      return "failed";
+  }
+  return "unknown";
+}
+
+}  // namespace
+
+RequestHistory::RequestHistory(std::size_t request_class, double time_left)
+    : text_(", class " + std::to_string(request_class) + ", given " + milliseconds(time_left)) {}
+
+void RequestHistory::add_attempt(const std::string& server, Outcome outcome, double elapsed) {
+  text_ += ", " + server + " " + name_of(outcome) + " after " + milliseconds(elapsed);
+  went_badly_ |= outcome != Outcome::kSucceeded;
+}
+
+void RequestHistory::add_answer(FinalAnswer::Kind kind, double elapsed) {
+  text_ += std::string(", ") + name_of(kind) + " after " + milliseconds(elapsed);
+  went_badly_ |= kind != FinalAnswer::Kind::kServed;
+}
+
+void RequestHistory::add_client_disconnect(double elapsed) {
+  text_ += ", its client left after " + milliseconds(elapsed);
+  went_badly_ = true;
+}
+
+void RequestLog::write(const std::string& id, const RequestHistory& history, double now) {
+  if (history.went_badly() && admit_line(now)) out_ << "request " << id << history.text() << '\n';
+}
+
+bool RequestLog::admit_line(double now) {
+  if (now >= second_began_at_ + 1) {
+    second_began_at_ = now;
+    lines_this_second_ = 0;
+  }
+  lines_this_second_ += 1;
+  return lines_this_second_ <= kMaxLinesPerSecond;
+}
+
+}  // namespace nettleyoke::node
--- a/node/downstream/downstream_server.h
+++ b/node/downstream/downstream_server.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "admin/metrics.h"
-#include "dispatcher.h"
+#include "dispatch/dispatcher.h"
 #include "downstream/request_validation.h"
 #include "http/memory_budget.h"
 
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -19,7 +19,7 @@
 #include "admin/metrics.h"
 #include "config.h"
 #include "discovery/discovery_client.h"
-#include "dispatcher.h"
+#include "dispatch/dispatcher.h"
 #include "downstream/downstream_server.h"
 #include "http/memory_budget.h"
 #include "takeover/takeover.h"
