--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <fstream>
-#include <iterator>
 #include <utility>
-#include <variant>
+
+#include "dispatch/deadline_margin.h"
 
 namespace nettleyoke::lab {
 namespace {
@@ -14,11 +14,8 @@
 using boost::system::error_code;
 using node::Clock;
 
-// As the node has them: attempts end this long before the client gives up, but no more than this part of what
-// it gives, and by half of that the request is failed, whatever the module does.
-constexpr double kMargin = 0.040, kMarginPart = 0.02, kGuardPart = 0.5;
-
-double margin_of(double time_left) { return std::min(kMargin, kMarginPart * time_left); }
+// The node's margins, but with no lower bound: nothing lies between a hollow node and its clients.
+constexpr node::DeadlineMargin kMargin{0};
 
 Outcome outcome_of(AttemptEnd how) {
   switch (how) {
@@ -35,8 +32,24 @@
   }
 }
 
+node::RequestResult result_of(Ending ending) {
+  switch (ending) {
+    case Ending::kServed:
+      return node::RequestResult::kServed;
+    case Ending::kRefused:
+      return node::RequestResult::kRejected;
+    default:
+      return node::RequestResult::kFailed;
+  }
+}
+
 }  // namespace
 
+bool HollowNode::InFlightCall::has_open_attempts() const {
+  return std::any_of(attempts.begin(), attempts.end(),
+                     [](const Attempt& attempt) { return attempt.is_open; });
+}
+
 HollowNode::HollowNode(asio::io_context& io, const Clock& clock, Place place, Servers servers,
                        std::function<void(std::uint64_t)> in_force)
     : io_(io),
@@ -47,278 +60,270 @@
 
 HollowNode::~HollowNode() { *alive_ = false; }
 
-void HollowNode::later(double seconds, std::function<void()> what) {
+void HollowNode::run_later(double seconds, std::function<void()> callback) {
   const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(seconds));
-  timer->async_wait([timer, alive = alive_, what = std::move(what)](error_code cancelled) {
-    if (!cancelled && *alive) what();
+  timer->async_wait([timer, alive = alive_, callback = std::move(callback)](error_code cancelled) {
+    if (!cancelled && *alive) callback();
   });
 }
 
+// ---------------------------------------------------------------- start and end
+
 void HollowNode::start(const std::string& config, std::function<void()> ready) {
   const std::string file = place_.folder + "/" + place_.name + ".json";
   std::ofstream(file) << config;
   config_ = node::read_config(file, clock_);
-  ready_call_ = std::move(ready);
-  jitter_.seed(static_cast<std::minstd_rand::result_type>(config_.seed));
-  balancer_ = std::make_unique<Balancer>(config_.settings, config_.seed);
+  ready_ = std::move(ready);
+  rewatch_backoff_.emplace(config_.seed);
+  node::ActionExecutor& executor = *this;
+  decisions_ = std::make_unique<node::DecisionLoop>(clock_, config_.settings, config_.seed, executor);
   metrics_.add_classes(config_.class_names);
-  discovery_ = std::make_unique<node::DiscoveryClient>(
-      io_, config_.discovery, config_.directory, clock_, config_.seed,
-      node::DiscoveryClient::Listener{[this](const node::EndpointList& update) {
-                                        has_list_ = true;
-                                        members(update);
-                                      },
-                                      [this] {
-                                        failures_ = 0;
-                                        if (!listed_.empty()) {
-                                          happen(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
-                                        }
-                                      },
-                                      [this] { watch_failed(); }});
+  start_discovery();
+  start_operators_line();
+  if (!config_.known.endpoints.empty()) apply_endpoint_list(config_.known);
+  decisions_->enqueue_event(Started{});
+  if (!config_.settings.must_watch) discovery_->watch();
+  run_later(0, [this] { std::exchange(ready_, nullptr)(); });
+}
+
+void HollowNode::start_discovery() {
+  discovery_ = std::make_unique<node::DiscoveryClient>(io_, config_.discovery, config_.directory, clock_,
+                                                       config_.seed, discovery_listener());
   discovery_->set_responds_immediately(!config_.settings.must_watch);
   discovery_->set_list_version(config_.known.version);
-  bans_ = std::make_unique<node::DisabledServers>(
-      io_, "", [this](const std::set<std::string>& out) { take_out(out); });
-  ops_ = std::make_unique<node::AdminServer>(
+}
+
+node::DiscoveryClient::Listener HollowNode::discovery_listener() {
+  return {[this](const node::EndpointList& update) {
+            has_list_ = true;
+            apply_endpoint_list(update);
+          },
+          [this] { on_watch_alive(); }, [this] { on_watch_failed(); }};
+}
+
+void HollowNode::start_operators_line() {
+  disabled_servers_ = std::make_unique<node::DisabledServers>(
+      io_, "", [this](const std::set<std::string>& servers) { set_disabled_servers(servers); });
+  admin_server_ = std::make_unique<node::AdminServer>(
       io_, node::AdminServer::Handlers{
                [this] { return has_list_; },
                [this] {
-                 return metrics_.to_json({listed_.size(), balancer_->unavailable_servers(clock_.now())});
+                 return metrics_.to_json({membership_.listed_servers(), decisions_->unavailable_servers()});
                },
-               [this](const std::string& id, bool enable) -> std::string {
-                 if (!listed_.contains(id) && !bans_->servers().contains(id)) return "unknown server";
-                 bans_->set_disabled(id, !enable);
-                 return "";
-               }});
-  if (config_.ops) ops_->listen(*config_.ops);
-  if (!config_.known.endpoints.empty()) members(config_.known);
-  happen(Started{});
-  if (!config_.settings.must_watch) discovery_->watch();
-  later(0, [this] { std::exchange(ready_call_, nullptr)(); });
+               [this](const std::string& server, bool enable) { return set_enabled(server, enable); }});
+  if (config_.ops) admin_server_->listen(*config_.ops);
+}
+
+std::string HollowNode::set_enabled(const std::string& server, bool enable) {
+  if (!membership_.is_listed(server) && !disabled_servers_->servers().contains(server)) {
+    return "unknown server";
+  }
+  disabled_servers_->set_disabled(server, !enable);
+  return "";
 }
 
 std::optional<asio::ip::tcp::endpoint> HollowNode::operators() const {
-  return config_.ops && ops_ ? std::optional(ops_->local()) : std::nullopt;
+  return config_.ops && admin_server_ ? std::optional(admin_server_->local()) : std::nullopt;
 }
 
 void HollowNode::end() {
   discovery_.reset();
-  ops_.reset();
-  ended_ = true;
+  admin_server_.reset();
+  has_ended_ = true;
 }
 
 // ---------------------------------------------------------------- membership
 
-bool HollowNode::is_usable(const Server& server) const {
-  return server.state == ServerState::kReady && !out_.contains(server.address);
-}
-
-void HollowNode::members(const node::EndpointList& update) {
-  MembershipUpdate event;
-  event.form = update.is_full ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
-  std::set<std::string> named;
-  for (const node::Endpoint& member : update.endpoints) {
-    const std::string& name = member.server.address;
-    if (member.server.state == ServerState::kRemoved) {
-      listed_.erase(name);
-    } else {
-      listed_[name] = member.server;
-    }
-    named.insert(name);
-    event.servers.push_back(member.server);
-  }
-  if (update.is_full)
-    std::erase_if(listed_, [&named](const auto& entry) { return !named.contains(entry.first); });
-  const bool is_new = std::exchange(index_, update.version) != update.version;
-  happen(std::move(event));
-  if (in_force_ && is_new) in_force_(index_);
+void HollowNode::apply_endpoint_list(const node::EndpointList& update) {
+  MembershipUpdate event = membership_.apply(update, *this);
+  const bool is_new = std::exchange(list_version_, update.version) != update.version;
+  decisions_->enqueue_event(std::move(event));
+  if (in_force_ && is_new) in_force_(list_version_);
+}
+
+void HollowNode::on_watch_alive() {
+  rewatch_backoff_->reset();
+  if (membership_.listed_servers() == 0) return;
+  decisions_->enqueue_event(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
 }
 
-void HollowNode::watch_failed() {
-  happen(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
+void HollowNode::on_watch_failed() {
+  decisions_->enqueue_event(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
   if (config_.settings.must_watch) return;
-  later(node::rewatch_backoff(failures_++, std::uniform_real_distribution<>()(jitter_)), [this] {
+  run_later(rewatch_backoff_->next_pause(), [this] {
     if (discovery_) discovery_->watch();
   });
 }
 
-void HollowNode::take_out(const std::set<std::string>& servers) {
-  std::vector<std::string> changed;
-  std::set_symmetric_difference(out_.begin(), out_.end(), servers.begin(), servers.end(),
-                                std::back_inserter(changed));
-  out_ = servers;
-  for (const std::string& name : changed) happen(ServerAdminStateChanged{name, !out_.contains(name)});
+void HollowNode::set_disabled_servers(const std::set<std::string>& servers) {
+  for (const std::string& name : membership_.set_disabled(servers)) {
+    decisions_->enqueue_event(ServerAdminStateChanged{name, !membership_.is_disabled(name)});
+  }
 }
 
 // ---------------------------------------------------------------- calls
 
 void HollowNode::call(const Call& call, std::function<void(Ending)> ended) {
   metrics_.request_started();
-  Held& held = held_[call.id];
-  held.request_class = call.request_class;
-  held.class_number = call.class_number;
-  held.ended = std::move(ended);
-  held.time_left = call.time;
-  if (held_.size() > config_.max_open) {
-    answer(held, Ending::kRefused);
-    return settle(call.id);
+  InFlightCall& accepted = in_flight_calls_[call.id];
+  accepted.request_class = call.request_class;
+  accepted.class_number = call.class_number;
+  accepted.ended = std::move(ended);
+  accepted.time_left = call.time;
+  if (in_flight_calls_.size() > config_.max_open) return answer_and_settle(call.id, Ending::kRefused);
+  const double end = clock_.now() + call.time;
+  accepted.attempts_end_at = kMargin.attempts_end(end, call.time);
+  accepted.fallback_timer = end_at(kMargin.fallback_at(end, call.time), call.id, Ending::kFailed);
+  if (call.leave_after > 0) {
+    accepted.disconnect_timer = end_at(clock_.now() + call.leave_after, call.id, Ending::kLeft);
   }
-  const double margin = margin_of(call.time), end = clock_.now() + call.time;
-  held.until = end - margin;
-  const auto wait = [this, id = call.id](double at, Ending ending) {
-    auto timer = std::make_unique<asio::steady_timer>(io_, clock_.at(at));
-    timer->async_wait([this, alive = alive_, id, ending](error_code cancelled) {
-      if (!cancelled && *alive) gone(id, ending);
-    });
-    return timer;
-  };
-  held.guard = wait(end - kGuardPart * margin, Ending::kFailed);
-  if (call.leave_after > 0) held.leave = wait(clock_.now() + call.leave_after, Ending::kLeft);
   Request event;
   event.id = call.id;
   event.tenant = call.tenant_number;
   event.request_class = call.class_number;
-  event.time_left = call.time - margin;
+  event.time_left = call.time - kMargin.of(call.time);
   event.is_client_retry = call.is_retry;
-  happen(std::move(event));
-}
-
-// Its client has left, or its time is up.
-void HollowNode::gone(const std::string& id, Ending ending) {
-  const auto at = held_.find(id);
-  if (at == held_.end() || at->second.is_over()) return;
-  answer(at->second, ending);
-  happen(RequestCancelled{id});
-  settle(id);
-}
-
-void HollowNode::answer(Held& held, Ending ending) {
-  held.guard.reset();
-  held.leave.reset();
-  metrics_.request_ended(held.request_class, ending == Ending::kServed    ? node::RequestResult::kServed
-                                             : ending == Ending::kRefused ? node::RequestResult::kRejected
-                                                                          : node::RequestResult::kFailed);
-  asio::post(io_, [ended = std::exchange(held.ended, nullptr), ending] { ended(ending); });
-}
-
-void HollowNode::attempt_ended(const std::string& id, std::size_t number, Outcome outcome) {
-  const auto at = held_.find(id);
-  if (at == held_.end() || !at->second.attempts[number].open) return;
-  Held& held = at->second;
-  Attempt& attempt = held.attempts[number];
-  attempt.open = false;
-  attempt.timer.reset();
-  if (outcome == Outcome::kSucceeded && !held.is_over()) answer(held, Ending::kServed);
-  AttemptResult event;
-  event.id = id;
-  event.attempt = static_cast<int>(number);
-  event.outcome = outcome;
-  event.elapsed = clock_.now() - attempt.since;
-  event.request_completed = held.is_over();
-  happen(std::move(event));
-  settle(id);
+  decisions_->enqueue_event(std::move(event));
 }
 
-// An attempt's end is never told from within its start.
-void HollowNode::end_later(const std::string& id, std::size_t attempt, Outcome outcome) {
-  later(0, [this, id, attempt, outcome] { attempt_ended(id, attempt, outcome); });
+HollowNode::InFlightCall* HollowNode::find(const std::string& id) {
+  const auto entry = in_flight_calls_.find(id);
+  return entry == in_flight_calls_.end() ? nullptr : &entry->second;
 }
 
-void HollowNode::settle(const std::string& id) {
-  const auto at = held_.find(id);
-  if (at == held_.end() || !at->second.is_over()) return;
-  const std::vector<Attempt>& attempts = at->second.attempts;
-  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) { return attempt.open; })) {
-    held_.erase(at);
-  }
+HollowNode::InFlightCall* HollowNode::find_unanswered(const std::string& id) {
+  InFlightCall* const call = find(id);
+  return call == nullptr || call->is_completed() ? nullptr : call;
 }
 
-// ---------------------------------------------------------------- events to actions
+HollowNode::Attempt* HollowNode::find_open_attempt(const std::string& id, std::size_t number) {
+  InFlightCall* const call = find(id);
+  if (call == nullptr || number >= call->attempts.size()) return nullptr;
+  Attempt& attempt = call->attempts[number];
+  return attempt.is_open ? &attempt : nullptr;
+}
 
-// The module is never called from within itself: what an action brings about at once waits its turn.
-void HollowNode::happen(Event event) {
-  events_.push_back(std::move(event));
-  if (std::exchange(handling_, true)) return;
-  while (!events_.empty()) {
-    const Event next = std::move(events_.front());
-    events_.pop_front();
-    handle(next);
-  }
-  handling_ = false;
+std::unique_ptr<asio::steady_timer> HollowNode::end_at(double due_at, const std::string& id, Ending ending) {
+  auto timer = std::make_unique<asio::steady_timer>(io_, clock_.at(due_at));
+  timer->async_wait([this, alive = alive_, id, ending](error_code cancelled) {
+    if (!cancelled && *alive) cancel_call(id, ending);
+  });
+  return timer;
 }
 
-void HollowNode::handle(const Event& event) {
-  std::vector<Action> actions;
-  balancer_->handle(clock_.now(), event, actions);
-  for (const Action& action : actions) {
-    std::visit([this](const auto& a) { perform(a); }, action);
-  }
+// Its client has left, or its time is over.
+void HollowNode::cancel_call(const std::string& id, Ending ending) {
+  InFlightCall* const call = find_unanswered(id);
+  if (call == nullptr) return;
+  answer(*call, ending);
+  decisions_->enqueue_event(RequestCancelled{id});
+  erase_if_settled(id);
+}
+
+void HollowNode::answer(InFlightCall& call, Ending ending) {
+  call.fallback_timer.reset();
+  call.disconnect_timer.reset();
+  metrics_.request_ended(call.request_class, result_of(ending));
+  asio::post(io_, [ended = std::exchange(call.ended, nullptr), ending] { ended(ending); });
+}
+
+void HollowNode::answer_and_settle(const std::string& id, Ending ending) {
+  InFlightCall* const call = find_unanswered(id);
+  if (call == nullptr) return;
+  answer(*call, ending);
+  erase_if_settled(id);
+}
+
+void HollowNode::erase_if_settled(const std::string& id) {
+  const auto entry = in_flight_calls_.find(id);
+  if (entry == in_flight_calls_.end()) return;
+  const InFlightCall& call = entry->second;
+  if (call.is_completed() && !call.has_open_attempts()) in_flight_calls_.erase(entry);
 }
 
-void HollowNode::perform(const StartAttempt& action) {
-  const auto at = held_.find(action.id);
-  if (at == held_.end()) return;
-  Held& held = at->second;
-  const std::size_t number = held.attempts.size();
-  Attempt& attempt = held.attempts.emplace_back();
-  attempt.since = clock_.now();
-  const double left = std::min(held.until - attempt.since, held.time_left - margin_of(held.time_left));
-  const double timeout = action.timeout == 0 ? left : std::min(action.timeout, left);
-  if (held.is_over() || timeout <= 0) return end_later(action.id, number, Outcome::kNotSent);
+// ---------------------------------------------------------------- attempts
+
+void HollowNode::execute(const StartAttempt& action) {
+  InFlightCall* const call = find(action.id);
+  if (call == nullptr) return;
+  const std::size_t number = call->attempts.size();
+  Attempt& attempt = call->attempts.emplace_back();
+  attempt.started_at = clock_.now();
+  const double time_left =
+      std::min(call->attempts_end_at - attempt.started_at, call->time_left - kMargin.of(call->time_left));
+  const double timeout = action.timeout == 0 ? time_left : std::min(action.timeout, time_left);
+  if (call->is_completed() || timeout <= 0) return end_attempt_later(action.id, number, Outcome::kNotSent);
   attempt.server = servers_(action.server);
   if (attempt.server == nullptr || !attempt.server->is_up()) {
-    return end_later(action.id, number, Outcome::kConnectFailed);
+    return end_attempt_later(action.id, number, Outcome::kConnectFailed);
   }
+  run_attempt(action.id, number, attempt, call->class_number, timeout);
+}
+
+void HollowNode::run_attempt(const std::string& id, std::size_t number, Attempt& attempt,
+                             std::size_t class_number, double timeout) {
   metrics_.attempt_sent();
-  attempt.number =
-      attempt.server->begin_direct(action.id, place_.number, held.class_number, timeout,
-                                   [this, alive = alive_, id = action.id, number](AttemptEnd how) {
-                                     if (*alive) attempt_ended(id, number, outcome_of(how));
-                                   });
-  attempt.timer = std::make_unique<asio::steady_timer>(io_, Clock::span(timeout));
-  attempt.timer->async_wait([this, alive = alive_, id = action.id, number](error_code cancelled) {
-    if (cancelled || !*alive) return;
-    const auto found = held_.find(id);
-    if (found == held_.end() || !found->second.attempts[number].open) return;
-    Attempt& late = found->second.attempts[number];
-    late.server->give_up_direct(late.number);
-    attempt_ended(id, number, Outcome::kTimedOut);
+  attempt.number = attempt.server->begin_direct(id, place_.number, class_number, timeout,
+                                                [this, alive = alive_, id, number](AttemptEnd how) {
+                                                  if (*alive) on_attempt_ended(id, number, outcome_of(how));
+                                                });
+  attempt.timeout_timer = std::make_unique<asio::steady_timer>(io_, Clock::span(timeout));
+  attempt.timeout_timer->async_wait([this, alive = alive_, id, number](error_code cancelled) {
+    if (!cancelled && *alive) on_attempt_timeout(id, number);
   });
 }
 
-void HollowNode::perform(const Reject& action) {
-  const auto at = held_.find(action.id);
-  if (at == held_.end() || at->second.is_over()) return;
-  answer(at->second, Ending::kRefused);
-  settle(action.id);
+void HollowNode::on_attempt_timeout(const std::string& id, std::size_t number) {
+  Attempt* const attempt = find_open_attempt(id, number);
+  if (attempt == nullptr) return;
+  attempt->server->give_up_direct(attempt->number);
+  on_attempt_ended(id, number, Outcome::kTimedOut);
+}
+
+void HollowNode::on_attempt_ended(const std::string& id, std::size_t number, Outcome outcome) {
+  Attempt* const attempt = find_open_attempt(id, number);
+  if (attempt == nullptr) return;
+  attempt->is_open = false;
+  attempt->timeout_timer.reset();
+  InFlightCall& call = *find(id);
+  if (outcome == Outcome::kSucceeded && !call.is_completed()) answer(call, Ending::kServed);
+  AttemptResult event;
+  event.id = id;
+  event.attempt = static_cast<int>(number);
+  event.outcome = outcome;
+  event.elapsed = clock_.now() - attempt->started_at;
+  event.request_completed = call.is_completed();
+  decisions_->enqueue_event(std::move(event));
+  erase_if_settled(id);
 }
 
-void HollowNode::perform(const Fail& action) {
-  const auto at = held_.find(action.id);
-  if (at == held_.end() || at->second.is_over()) return;
-  answer(at->second, Ending::kFailed);
-  settle(action.id);
+// An attempt's end is never reported from within its start.
+void HollowNode::end_attempt_later(const std::string& id, std::size_t number, Outcome outcome) {
+  run_later(0, [this, id, number, outcome] { on_attempt_ended(id, number, outcome); });
 }
 
-void HollowNode::perform(const CancelAttempt& action) {
-  const auto at = held_.find(action.id);
+void HollowNode::execute(const CancelAttempt& action) {
   const auto number = static_cast<std::size_t>(action.attempt);
-  if (at == held_.end() || number >= at->second.attempts.size() || !at->second.attempts[number].open) return;
-  Attempt& attempt = at->second.attempts[number];
-  attempt.timer.reset();
-  if (attempt.server != nullptr) attempt.server->give_up_direct(attempt.number);
-  end_later(action.id, number, Outcome::kCancelled);
+  Attempt* const attempt = find_open_attempt(action.id, number);
+  if (attempt == nullptr) return;
+  attempt->timeout_timer.reset();
+  if (attempt->server != nullptr) attempt->server->give_up_direct(attempt->number);
+  end_attempt_later(action.id, number, Outcome::kCancelled);
 }
 
-void HollowNode::perform(const SetTimer& action) {
-  later(std::max(0.0, action.due_at - clock_.now()),
-        [this, token = action.token] { happen(TimerFired{token}); });
+// ---------------------------------------------------------------- other actions
+
+void HollowNode::execute(const Reject& action) { answer_and_settle(action.id, Ending::kRefused); }
+
+void HollowNode::execute(const Fail& action) { answer_and_settle(action.id, Ending::kFailed); }
+
+void HollowNode::execute(const SetTimer& action) {
+  run_later(std::max(0.0, action.due_at - clock_.now()),
+            [this, token = action.token] { decisions_->enqueue_event(TimerFired{token}); });
 }
 
-void HollowNode::perform(const WatchMembership&) {
+void HollowNode::execute(const WatchMembership&) {
   if (discovery_) discovery_->watch();
 }
 
-void HollowNode::perform(const LogLine&) {}
-
 }  // namespace nettleyoke::lab
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -1,15 +1,17 @@
-// A hollow node: the node's own settings reader, watch on discovery, module, operators' line and counts, with
-// no listener for callers and no connections to servers. Many of them run on one event loop. Its calls go
-// through its module straight to the servers' models. docs/lab.md lists what it leaves out.
+/// @file
+/// A hollow node: the node's own settings reader, watch on discovery, decision library, operators' line and
+/// metrics, with no listener for clients and no connections to servers. Many of them run on one event loop.
+/// Its calls go through its decision library straight to the servers' models. docs/lab.md lists what it
+/// leaves out.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <deque>
-#include <map>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
 #include <memory>
 #include <optional>
-#include <random>
 #include <set>
 #include <string>
 #include <unordered_map>
@@ -20,6 +22,9 @@
 #include "clock.h"
 #include "config.h"
 #include "discovery/discovery_client.h"
+#include "dispatch/decision_loop.h"
+#include "dispatch/membership_tracker.h"
+#include "dispatch/rewatch_backoff.h"
 #include "nettleyoke/balancer.h"
 #include "nodes/node_under_test.h"
 #include "stand_ins/server_stand_in.h"
@@ -27,16 +32,18 @@
 
 namespace nettleyoke::lab {
 
-class HollowNode : public PlayedNode {
+class HollowNode : public PlayedNode,
+                   private node::ActionExecutor,
+                   private node::MembershipTracker::Observer {
  public:
   struct Place {
-    std::string folder, name, zone;  // its configuration is kept in the folder
-    std::size_t number = 0;          // in the audit
+    std::string folder, name, zone;  ///< its configuration is kept in the folder
+    std::size_t number = 0;          ///< among the nodes that are checked
   };
-  // The server of a name, or nothing.
+  /// The server of a name, or null.
   using Servers = std::function<ServerStandIn*(const std::string& name)>;
 
-  // `in_force`, if given, hears of each version once the module has it.
+  /// @param in_force if given, hears of each list version once the decision library has it
   HollowNode(boost::asio::io_context& io, const node::Clock& clock, Place place, Servers servers,
              std::function<void(std::uint64_t index)> in_force = nullptr);
   ~HollowNode() override;
@@ -47,73 +54,93 @@
   void start(const std::string& config, std::function<void()> ready) override;
   void call(const Call& call, std::function<void(Ending)> ended) override;
   void end() override;
-  bool has_ended() override { return ended_; }
+  bool has_ended() override { return has_ended_; }
   int status() const override { return 0; }
   Usage usage() const override { return {}; }
   std::optional<boost::asio::ip::tcp::endpoint> operators() const override;
   std::string log() const override { return {}; }
   std::size_t stray_answers() const override { return 0; }
-  std::optional<std::uint64_t> list_index() const override { return index_; }
+  std::optional<std::uint64_t> list_index() const override { return list_version_; }
 
  private:
   struct Attempt {
     ServerStandIn* server = nullptr;
     ServerStandIn::DirectNumber number = 0;
-    double since = 0;
-    std::unique_ptr<boost::asio::steady_timer> timer;
-    bool open = true;
+    double started_at = 0;
+    std::unique_ptr<boost::asio::steady_timer> timeout_timer;
+    bool is_open = true;
   };
-  struct Held {
+  struct InFlightCall {
     std::string request_class;
-    std::function<void(Ending)> ended;  // empty once the final answer is out, or nobody waits for it
-    double until = 0, time_left = 0;    // when attempts end, a margin before the client gives up
     std::size_t class_number = 0;
-    std::unique_ptr<boost::asio::steady_timer> guard, leave;
+    std::function<void(Ending)> ended;  // empty once the final answer is out, or nobody waits for it
+    double attempts_end_at = 0;
+    double time_left = 0;
+    std::unique_ptr<boost::asio::steady_timer> fallback_timer, disconnect_timer;
     std::vector<Attempt> attempts;
-    bool is_over() const { return !ended; }
+    bool is_completed() const { return !ended; }
+    bool has_open_attempts() const;
   };
 
-  bool is_usable(const Server& server) const;
-  void members(const node::EndpointList& update);
-  void watch_failed();
-  void take_out(const std::set<std::string>& servers);
-  void happen(Event event);
-  void handle(const Event& event);
-  void attempt_ended(const std::string& id, std::size_t attempt, Outcome outcome);
-  void end_later(const std::string& id, std::size_t attempt, Outcome outcome);
-  void answer(Held& held, Ending ending);
-  void gone(const std::string& id, Ending ending);
-  void settle(const std::string& id);
-  void later(double seconds, std::function<void()> what);
+  void start_discovery();
+  void start_operators_line();
+  node::DiscoveryClient::Listener discovery_listener();
+
+  void on_server_listed(const node::Endpoint&, bool) override {}
+  void on_server_removed(const std::string&) override {}
+  void apply_endpoint_list(const node::EndpointList& update);
+  void on_watch_alive();
+  void on_watch_failed();
+  void set_disabled_servers(const std::set<std::string>& servers);
+  std::string set_enabled(const std::string& server, bool enable);
+
+  [[nodiscard]] InFlightCall* find(const std::string& id);
+  [[nodiscard]] InFlightCall* find_unanswered(const std::string& id);
+  /// Null unless the attempt is open.
+  [[nodiscard]] Attempt* find_open_attempt(const std::string& id, std::size_t number);
+  [[nodiscard]] std::unique_ptr<boost::asio::steady_timer> end_at(double due_at, const std::string& id,
+                                                                  Ending ending);
+  void answer(InFlightCall& call, Ending ending);
+  void answer_and_settle(const std::string& id, Ending ending);
+  void cancel_call(const std::string& id, Ending ending);
+  void erase_if_settled(const std::string& id);
+  void run_attempt(const std::string& id, std::size_t number, Attempt& attempt, std::size_t class_number,
+                   double timeout);
+  void on_attempt_ended(const std::string& id, std::size_t number, Outcome outcome);
+  void on_attempt_timeout(const std::string& id, std::size_t number);
+  void end_attempt_later(const std::string& id, std::size_t number, Outcome outcome);
+  void run_later(double seconds, std::function<void()> callback);
 
-  void perform(const StartAttempt& action);
-  void perform(const Reject& action);
-  void perform(const Fail& action);
-  void perform(const CancelAttempt& action);
-  void perform(const SetTimer& action);
-  void perform(const WatchMembership& action);
-  void perform(const LogLine& action);
+  void execute(const StartAttempt& action) override;
+  void execute(const Reject& action) override;
+  void execute(const Fail& action) override;
+  void execute(const CancelAttempt& action) override;
+  void execute(const SetTimer& action) override;
+  void execute(const WatchMembership& action) override;
+  void execute(const LogLine&) override {}
+  // An experiment in which the decision library fails is of no use: the exception goes on to its end.
+  void on_decision_failed(const std::exception&) override { throw; }
+  void on_execution_failed(const std::exception&) override { throw; }
+  void after_failed_decision(const Event&) override {}
 
   boost::asio::io_context& io_;
   const node::Clock& clock_;
   Place place_;
   Servers servers_;
   std::function<void(std::uint64_t)> in_force_;
-  std::function<void()> ready_call_;
+  std::function<void()> ready_;
   node::Config config_;
-  std::unique_ptr<Balancer> balancer_;
+  std::unique_ptr<node::DecisionLoop> decisions_;
   std::unique_ptr<node::DiscoveryClient> discovery_;
   node::Metrics metrics_;
-  std::unique_ptr<node::DisabledServers> bans_;
-  std::unique_ptr<node::AdminServer> ops_;
-  std::minstd_rand jitter_;
-  std::unordered_map<std::string, Held> held_;
-  std::map<std::string, Server> listed_;
-  std::set<std::string> out_;  // by hand
-  std::deque<Event> events_;
-  std::uint64_t index_ = 0;
-  int failures_ = 0;  // of watches, since one brought anything
-  bool handling_ = false, has_list_ = false, ended_ = false;
+  std::unique_ptr<node::DisabledServers> disabled_servers_;
+  std::unique_ptr<node::AdminServer> admin_server_;
+  std::optional<node::RewatchBackoff> rewatch_backoff_;
+  std::unordered_map<std::string, InFlightCall> in_flight_calls_;
+  node::MembershipTracker membership_;
+  std::uint64_t list_version_ = 0;
+  bool has_list_ = false;
+  bool has_ended_ = false;
   // Outlived by timers that look at it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/node/dispatch/dispatcher.cpp
+++ b/node/dispatch/dispatcher.cpp
@@ -102,10 +102,9 @@
     return callback({FinalAnswer::Kind::kRejected, overflow_retry_after_, {}, nullptr});
   }
   event.body_in_progress = message->rest != nullptr;
-  const auto entry = in_flight_requests_
-                         .try_emplace(event.id, std::move(message), std::move(callback), event.request_class,
-                                      event.time_left, clock_.now())
-                         .first;
+  InFlightRequest accepted(std::move(message), std::move(callback), event.request_class, event.time_left,
+                           clock_.now());
+  const auto entry = in_flight_requests_.try_emplace(event.id, std::move(accepted)).first;
   if (!event.body_in_progress) start_clock(entry->first, entry->second);
   event.time_left = std::max(0.0, event.time_left - kMargin.of(event.time_left));
   decisions_.enqueue_event(std::move(event));
