--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -74,7 +74,7 @@
   std::ofstream(file) << config;
   config_ = node::read_config(file, clock_);
   ready_ = std::move(ready);
-  rewatch_backoff_.emplace(config_.seed);
+  rewatch_pauses_.emplace(config_.seed);
   node::ActionExecutor& executor = *this;
   decisions_ = std::make_unique<node::DecisionLoop>(clock_, config_.settings, config_.seed, executor);
   metrics_.add_classes(config_.class_names);
@@ -142,7 +142,7 @@
 }
 
 void HollowNode::on_watch_alive() {
-  rewatch_backoff_->reset();
+  rewatch_pauses_->reset();
   if (membership_.listed_servers() == 0) return;
   decisions_->enqueue_event(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
 }
@@ -150,7 +150,7 @@
 void HollowNode::on_watch_failed() {
   decisions_->enqueue_event(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
   if (config_.settings.must_watch) return;
-  run_later(rewatch_backoff_->next_pause(), [this] {
+  run_later(rewatch_pauses_->next(), [this] {
     if (discovery_) discovery_->watch();
   });
 }
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -24,11 +24,11 @@
 #include "discovery/discovery_client.h"
 #include "dispatch/decision_loop.h"
 #include "dispatch/membership_tracker.h"
-#include "dispatch/rewatch_backoff.h"
+#include "dispatch/rewatch_pauses.h"
 #include "nettleyoke/balancer.h"
 #include "nodes/node_under_test.h"
 #include "stand_ins/server_stand_in.h"
-#include "takeover/takeover.h"
+#include "takeover/disabled_servers.h"
 
 namespace nettleyoke::lab {
 
@@ -135,7 +135,7 @@
   node::Metrics metrics_;
   std::unique_ptr<node::DisabledServers> disabled_servers_;
   std::unique_ptr<node::AdminServer> admin_server_;
-  std::optional<node::RewatchBackoff> rewatch_backoff_;
+  std::optional<node::RewatchPauses> rewatch_pauses_;
   std::unordered_map<std::string, InFlightCall> in_flight_calls_;
   node::MembershipTracker membership_;
   std::uint64_t list_version_ = 0;
--- a/node/dispatch/dispatcher.cpp
+++ b/node/dispatch/dispatcher.cpp
@@ -24,7 +24,7 @@
       clock_(clock),
       decisions_(clock, settings, seed, *this),
       must_watch_(settings.must_watch),
-      rewatch_backoff_(seed),
+      rewatch_pauses_(seed),
       max_open_(max_open),
       overflow_retry_after_(settings.max_retry_after * kOverflowRetryFraction),
       upstream_(upstream),
@@ -42,7 +42,7 @@
   const bool had_to_watch = std::exchange(must_watch_, settings.must_watch);
   max_open_ = max_open;
   overflow_retry_after_ = settings.max_retry_after * kOverflowRetryFraction;
-  rewatch_backoff_.reset();
+  rewatch_pauses_.reset();
   decisions_.enqueue_event(SettingsReplaced{settings});
   if (had_to_watch && !must_watch_) watch_();
 }
@@ -67,7 +67,7 @@
 // Watches that bring empty lines alone, while nothing changes, and then break are no failures. Counted as
 // such they would have the next ones wait ever longer, up to past the time when a change counts as notified.
 void Dispatcher::on_watch_alive() {
-  rewatch_backoff_.reset();
+  rewatch_pauses_.reset();
   if (membership_.listed_servers() == 0) return;
   decisions_.enqueue_event(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
 }
@@ -76,7 +76,7 @@
   decisions_.enqueue_event(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
   if (must_watch_) return;
   // Where lists are pushed the decision library asks for none: it is for the node to stay connected.
-  rewatch_timer_.expires_after(Clock::span(rewatch_backoff_.next_pause()));
+  rewatch_timer_.expires_after(Clock::span(rewatch_pauses_.next()));
   rewatch_timer_.async_wait([this](error_code cancelled) {
     if (!cancelled) watch_();
   });
--- a/node/dispatch/dispatcher.h
+++ b/node/dispatch/dispatcher.h
@@ -16,13 +16,13 @@
 #include <unordered_map>
 
 #include "clock.h"
-#include "discovery/discovery_client.h"
+#include "discovery/endpoint_list.h"
 #include "dispatch/decision_loop.h"
 #include "dispatch/final_answer.h"
 #include "dispatch/in_flight_request.h"
 #include "dispatch/membership_tracker.h"
 #include "dispatch/request_log.h"
-#include "dispatch/rewatch_backoff.h"
+#include "dispatch/rewatch_pauses.h"
 #include "http/message.h"
 #include "nettleyoke/balancer.h"
 #include "upstream/upstream_client.h"
@@ -100,7 +100,7 @@
   const Clock& clock_;
   DecisionLoop decisions_;
   bool must_watch_;  // the decision library asks for each poll; else lists are pushed
-  RewatchBackoff rewatch_backoff_;
+  RewatchPauses rewatch_pauses_;
   std::size_t max_open_;
   double overflow_retry_after_;  // s; what a request beyond `max_open_` is advised
   UpstreamClient& upstream_;
--- a/node/dispatch/membership_tracker.h
+++ b/node/dispatch/membership_tracker.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "discovery/discovery_client.h"
+#include "discovery/endpoint_list.h"
 #include "nettleyoke/events.h"
 
 namespace nettleyoke::node {
--- a/node/dispatch/rewatch_backoff.h
+++ b/node/dispatch/rewatch_pauses.h
@@ -6,19 +6,19 @@
 #include <cstdint>
 #include <random>
 
-#include "discovery/discovery_client.h"
+#include "discovery/rewatch_backoff.h"
 
 namespace nettleyoke::node {
 
-class RewatchBackoff {
+class RewatchPauses {
  public:
-  explicit RewatchBackoff(std::uint64_t seed) : random_(static_cast<std::minstd_rand::result_type>(seed)) {}
+  explicit RewatchPauses(std::uint64_t seed) : random_(static_cast<std::minstd_rand::result_type>(seed)) {}
 
   /// A watch has brought something.
   void reset() { failures_ = 0; }
   /// A watch has broken.
   /// @return s until the next is due
-  [[nodiscard]] double next_pause() {
+  [[nodiscard]] double next() {
     return rewatch_backoff(failures_++, std::uniform_real_distribution<>()(random_));
   }
 
