--- a/node/downstream/connection_context.h
+++ b/node/downstream/connection_context.h
@@ -8,7 +8,7 @@
 
 #include "admin/metrics.h"
 #include "clock.h"
-#include "dispatcher.h"
+#include "dispatch/dispatcher.h"
 #include "downstream/request_catalog.h"
 #include "http/memory_budget.h"
 
--- a/node/downstream/graceful_shutdown.h
+++ b/node/downstream/graceful_shutdown.h
@@ -8,7 +8,7 @@
 #include <functional>
 
 #include "clock.h"
-#include "dispatcher.h"
+#include "dispatch/dispatcher.h"
 #include "downstream/request_catalog.h"
 
 namespace nettleyoke::node {
--- a/node/node.h
+++ b/node/node.h
@@ -12,7 +12,7 @@
 #include "config.h"
 #include "descriptor_budget.h"
 #include "discovery/discovery_client.h"
-#include "dispatcher.h"
+#include "dispatch/dispatcher.h"
 #include "downstream/downstream_server.h"
 #include "event_loop.h"
 #include "listen_retry.h"
