--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -1,32 +1,39 @@
-// A client that closes its connection, by FIN or by RST, has gone: from then on nothing is sent on for it,
-// whatever its request waits for. Each state is brought about by the peers' own acts. Where two of them have
-// to reach the node in one turn of its event loop it is stopped meanwhile.
+/// @file
+/// A client that closes its connection, by FIN or by RST, has disconnected: from then on nothing is forwarded
+/// for it, whatever its request waits for. Each state is brought about by the peers' own acts. Where two of
+/// them have to reach the node in one turn of its event loop it is suspended meanwhile.
+#include <gtest/gtest.h>
 #include <netinet/tcp.h>
+#include <poll.h>
 
 #include <tuple>
+#include <vector>
 
-#include "single_server_deployment.h"
+#include "harness/held_server_deployment.h"
+#include "node_harness.h"
 
 namespace nettleyoke::node {
 namespace {
 
+// A node, its client and its server.
 struct Scene {
   explicit Scene(bool reset) : by_reset(reset) {}
-  void leave() { by_reset ? client.reset() : client.close(); }
-  void served_once() {
-    client.write(look("before").text());
-    server = Wire(node.server.accept());
-    EXPECT_EQ(field_of(server.read_message(), "X-Request-ID"), "before");
-    server.write(http_answer(200, "ok"));
+  void disconnect() { by_reset ? client.reset() : client.close(); }
+  void serve_one_request() {
+    client.write(get_request("before").text());
+    server = Connection(node.server.accept());
+    EXPECT_EQ(read_request_id(server), "before");
+    server.write(http_response(200, "ok"));
     EXPECT_EQ(body_of(client.read_message()), "ok");
   }
-  // Nothing of the node runs, and its connection to the server has rested.
-  void stop() const {
-    node.program->stop();
+  // Suspends the node once its connection to the server is out of quarantine.
+  void suspend_after_quarantine() const {
+    node.program->suspend();
     std::this_thread::sleep_for(10ms);
   }
-  // The client leaves once the server has had nearly all that came of its request. What came in all.
-  std::string all_that_comes(std::size_t nearly) {
+  // Disconnects the client once the server has `nearly` all bytes that were sent of its request; returns all
+  // that it got.
+  std::string read_all_with_disconnect_after(std::size_t nearly) {
     std::string all;
     while (all.size() < nearly) {
       const std::string piece = server.read_some();
@@ -34,235 +41,238 @@
       all += piece;
     }
     EXPECT_GE(all.size(), nearly);
-    leave();
-    all += server.read_rest();
+    disconnect();
+    all += server.read_to_end();
     server.close();
     return all;
   }
 
   bool by_reset;
-  OneServer node;
-  Wire client = node.client();
-  Wire server{Fd()};  // the connection that may carry the next request
+  HeldServerDeployment node;
+  Connection client = node.client();
+  Connection server{FileDescriptor()};  // the connection that may carry the next request
 };
 
-struct State {
+struct DisconnectCase {
   const char* name;
   void (*force)(Scene&);
 };
-void PrintTo(const State& state, std::ostream* out) { *out << state.name; }
+// NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest looks for
+void PrintTo(const DisconnectCase& state, std::ostream* out) { *out << state.name; }
 
-// Guards against what a client wrote before it left and is read before its end, however long ago that was.
-void in_the_listeners_queue(Scene& s) {
-  s.served_once();
-  s.stop();
-  s.client = s.node.client();
-  s.client.write(Ask{.id = "gone"}.text());
-  s.leave();
-  s.node.program->go_on();
+// What a client wrote before it disconnected is read before its end, however long ago that was.
+void in_the_accept_queue(Scene& scene) {
+  scene.serve_one_request();
+  scene.suspend_after_quarantine();
+  scene.client = scene.node.client();
+  scene.client.write(RequestBuilder{.id = "gone"}.text());
+  scene.disconnect();
+  scene.node.program->resume();
 }
 
-void in_the_turn_of_its_request(Scene& s) {
-  s.served_once();
-  s.stop();
-  s.client.write(Ask{.id = "gone"}.text());
-  s.leave();
-  s.node.program->go_on();
+void in_the_turn_of_its_request(Scene& scene) {
+  scene.serve_one_request();
+  scene.suspend_after_quarantine();
+  scene.client.write(RequestBuilder{.id = "gone"}.text());
+  scene.disconnect();
+  scene.node.program->resume();
 }
 
-void in_the_turn_of_its_bodys_end(Scene& s) {
-  s.served_once();
-  const std::string text = Ask{.id = "gone", .body = std::string(4 * kKilo, 'b')}.text();
-  s.client.write(text.substr(0, text.size() / 2));
-  s.stop();
-  s.client.write(text.substr(text.size() / 2));
-  s.leave();
-  s.node.program->go_on();
+void in_the_turn_of_its_bodys_end(Scene& scene) {
+  scene.serve_one_request();
+  const std::string text = RequestBuilder{.id = "gone", .body = std::string(4 * kKibibyte, 'b')}.text();
+  scene.client.write(text.substr(0, text.size() / 2));
+  scene.suspend_after_quarantine();
+  scene.client.write(text.substr(text.size() / 2));
+  scene.disconnect();
+  scene.node.program->resume();
 }
 
-void just_after_the_dial_is_up(Scene& s) {
-  s.node.server.fill();
-  s.client.write(Ask{.id = "gone"}.text());
-  ASSERT_TRUE(eventually([&] { return s.node.server.dials() == 1; }));
-  s.node.program->stop();
-  s.server = Wire(s.node.server.accept());
-  s.leave();
-  s.node.program->go_on();
+void just_after_the_connect_completes(Scene& scene) {
+  scene.node.server.fill_queue();
+  scene.client.write(RequestBuilder{.id = "gone"}.text());
+  ASSERT_TRUE(scene.node.server.eventually_has_pending_connects(1));
+  scene.node.program->suspend();
+  scene.server = Connection(scene.node.server.accept());
+  scene.disconnect();
+  scene.node.program->resume();
 }
 
-void while_the_connection_rests(Scene& s) {
-  s.served_once();
-  Wire first = s.node.client();
-  first.write(look("first").text());
-  ASSERT_EQ(field_of(s.server.read_message(), "X-Request-ID"), "first");
-  s.node.program->stop();
-  s.server.write(http_answer(200, "ok"));
-  s.client.write(Ask{.id = "gone"}.text());
-  s.leave();
-  s.node.program->go_on();
+void during_quarantine_of_the_connection(Scene& scene) {
+  scene.serve_one_request();
+  Connection first = scene.node.client();
+  first.write(get_request("first").text());
+  ASSERT_EQ(read_request_id(scene.server), "first");
+  scene.node.program->suspend();
+  scene.server.write(http_response(200, "ok"));
+  scene.client.write(RequestBuilder{.id = "gone"}.text());
+  scene.disconnect();
+  scene.node.program->resume();
   EXPECT_EQ(body_of(first.read_message()), "ok");
 }
 
-void while_a_further_attempts_dial_hangs(Scene& s) {
-  s.client.write(Ask{.id = "gone"}.text());
-  Wire first(s.node.server.accept());
-  ASSERT_EQ(field_of(first.read_message(), "X-Request-ID"), "gone");
-  s.node.server.fill();
-  first.write(http_answer(503, "", "X-Not-Processed: 1\r\nConnection: close\r\n"));
-  ASSERT_TRUE(eventually([&] { return s.node.server.dials() == 1; }));
-  s.leave();
-  EXPECT_TRUE(s.node.is_idle());
-  s.server = Wire(s.node.server.accept());
+void while_the_connect_of_a_retry_is_pending(Scene& scene) {
+  scene.client.write(RequestBuilder{.id = "gone"}.text());
+  Connection first(scene.node.server.accept());
+  ASSERT_EQ(read_request_id(first), "gone");
+  scene.node.server.fill_queue();
+  first.write(http_response(503, "", "X-Not-Processed: 1\r\nConnection: close\r\n"));
+  ASSERT_TRUE(scene.node.server.eventually_has_pending_connects(1));
+  scene.disconnect();
+  EXPECT_TRUE(scene.node.has_nothing_in_flight());
+  scene.server = Connection(scene.node.server.accept());
 }
 
-// The server has read all of a streamed body that has come, and waits for the rest.
-void with_the_rest_of_its_body_to_come(Scene& s) {
-  const std::string text = Ask{.id = "gone", .body = std::string(2 * kMega, 'b')}.text();
-  const std::size_t part = kMega + 64 * kKilo;
-  s.client.write(text.substr(0, part));
-  s.server = Wire(s.node.server.accept());
-  EXPECT_LT(s.all_that_comes(part - 16 * kKilo).size(), text.size() - kKilo);
+// The server has read all that was sent of a streamed body, and waits for the rest.
+void with_the_rest_of_its_body_to_come(Scene& scene) {
+  const std::string text = RequestBuilder{.id = "gone", .body = std::string(2 * kMebibyte, 'b')}.text();
+  const std::size_t part = kMebibyte + 64 * kKibibyte;
+  scene.client.write(text.substr(0, part));
+  scene.server = Connection(scene.node.server.accept());
+  EXPECT_LT(scene.read_all_with_disconnect_after(part - 16 * kKibibyte).size(), text.size() - kKibibyte);
 }
 
-void with_the_rest_of_its_chunks_to_come(Scene& s) {
-  const std::string piece = chunk(std::string(64 * kKilo, 'b'));
-  std::string text = Ask{.id = "gone", .body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text();
+void with_the_rest_of_its_chunks_to_come(Scene& scene) {
+  const std::string piece = http_chunk(std::string(64 * kKibibyte, 'b'));
+  std::string text =
+      RequestBuilder{.id = "gone", .body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text();
   for (std::size_t i = 0; i < 20; ++i) text += piece;
-  s.client.write(text);
-  s.server = Wire(s.node.server.accept());
-  EXPECT_FALSE(s.all_that_comes(19 * 64 * kKilo).ends_with("\r\n0\r\n\r\n"));
+  scene.client.write(text);
+  scene.server = Connection(scene.node.server.accept());
+  EXPECT_FALSE(
+      scene.read_all_with_disconnect_after(std::size_t{19} * 64 * kKibibyte).ends_with("\r\n0\r\n\r\n"));
 }
 
-// Guards against the last bytes of a streamed body that are passed on for one that has left behind them.
-void in_the_turn_of_a_streamed_bodys_end(Scene& s) {
-  const std::string text = Ask{.id = "gone", .body = std::string(kMega + 64 * kKilo, 'b')}.text();
-  const std::size_t last = 2 * kKilo;
-  s.client.write(text.substr(0, text.size() - last));
-  s.server = Wire(s.node.server.accept());
-  std::size_t came = 0;
-  while (came < text.size() - last - kKilo) came += s.server.read_some().size();
-  s.node.program->stop();
-  s.client.write(text.substr(text.size() - last));
-  s.leave();
-  s.node.program->go_on();
-  while (s.server.more()) came += s.server.read_some().size();
-  EXPECT_LT(came, text.size() - last + kKilo) << "the last byte never comes";
-  s.server.close();
+// The last bytes of a streamed body must not be passed on for a client that has disconnected behind them.
+void in_the_turn_of_a_streamed_bodys_end(Scene& scene) {
+  const std::string text =
+      RequestBuilder{.id = "gone", .body = std::string(kMebibyte + 64 * kKibibyte, 'b')}.text();
+  const std::size_t last = 2 * kKibibyte;
+  scene.client.write(text.substr(0, text.size() - last));
+  scene.server = Connection(scene.node.server.accept());
+  std::size_t received = 0;
+  while (received < text.size() - last - kKibibyte) received += scene.server.read_some().size();
+  scene.node.program->suspend();
+  scene.client.write(text.substr(text.size() - last));
+  scene.disconnect();
+  scene.node.program->resume();
+  while (scene.server.receive_more()) received += scene.server.read_some().size();
+  EXPECT_LT(received, text.size() - last + kKibibyte) << "the last byte is withheld";
+  scene.server.close();
 }
 
-// Guards against a turn that is begun for a client whose end came while the answer before was being written:
-// it takes in a little at a time, so that this can't be done at once.
-void while_the_answer_before_is_written(Scene& s) {
-  Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const int little = 4096, segment = 536;
-  ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &little, sizeof little);
-  ::setsockopt(fd.get(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
-  const sockaddr_in where = loopback(s.node.program->port());
-  ASSERT_EQ(::connect(fd.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where), 0);
-  s.client = Wire(std::move(fd));
-  s.client.write(look("before").text() + look("gone").text());
-  s.server = Wire(s.node.server.accept());
-  ASSERT_EQ(field_of(s.server.read_message(), "X-Request-ID"), "before");
-  const std::string body(60 * kKilo, 'b');
-  s.server.write(http_answer(200, body));
-  pollfd begun{s.client.fd(), POLLIN, 0};
-  ASSERT_EQ(::poll(&begun, 1, static_cast<int>(std::chrono::milliseconds(kPatience).count())), 1);
-  if (s.by_reset) return s.leave();
-  ::shutdown(s.client.fd(), SHUT_WR);
-  EXPECT_EQ(body_of(s.client.read_message()), body);
-  EXPECT_EQ(s.client.read_rest(), "") << "and no further turn";
+// No request may begin for a client whose end came while the response before was being written: the client
+// takes it in a little at a time, so that this can't be done at once.
+void while_the_response_before_is_written(Scene& scene) {
+  FileDescriptor socket = new_tcp_socket();
+  const int receive_buffer = 4096;
+  const int segment = 536;
+  ::setsockopt(socket.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
+  ::setsockopt(socket.get(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
+  ASSERT_TRUE(connect_to_loopback(socket, scene.node.program->port()));
+  scene.client = Connection(std::move(socket));
+  scene.client.write(get_request("before").text() + get_request("gone").text());
+  scene.server = Connection(scene.node.server.accept());
+  ASSERT_EQ(read_request_id(scene.server), "before");
+  const std::string body(60 * kKibibyte, 'b');
+  scene.server.write(http_response(200, body));
+  pollfd response_begun{scene.client.fd(), POLLIN, 0};
+  ASSERT_EQ(::poll(&response_begun, 1, kWaitLimitMilliseconds), 1);
+  if (scene.by_reset) return scene.disconnect();
+  ::shutdown(scene.client.fd(), SHUT_WR);
+  EXPECT_EQ(body_of(scene.client.read_message()), body);
+  EXPECT_EQ(scene.client.read_to_end(), "") << "and no further request begins";
 }
 
-void in_the_pause_after_an_error(Scene& s) {
-  s.served_once();
-  s.stop();
-  s.client.write(Ask{.kind = "dance", .body = ""}.text() + look("gone").text());
-  s.leave();
-  s.node.program->go_on();
+void in_the_pause_after_an_error(Scene& scene) {
+  scene.serve_one_request();
+  scene.suspend_after_quarantine();
+  scene.client.write(RequestBuilder{.request_class = "unknown", .body = ""}.text() +
+                     get_request("gone").text());
+  scene.disconnect();
+  scene.node.program->resume();
 }
 
-class Gone : public testing::TestWithParam<std::tuple<State, bool>> {};
+class DisconnectState : public testing::TestWithParam<std::tuple<DisconnectCase, bool>> {};
+
 INSTANTIATE_TEST_SUITE_P(
-    States, Gone,
+    States, DisconnectState,
     testing::Combine(
-        testing::Values(State{"InTheListenersQueue", in_the_listeners_queue},
-                        State{"InTheTurnOfItsRequest", in_the_turn_of_its_request},
-                        State{"InTheTurnOfItsBodysEnd", in_the_turn_of_its_bodys_end},
-                        State{"JustAfterTheDialIsUp", just_after_the_dial_is_up},
-                        State{"WhileTheConnectionRests", while_the_connection_rests},
-                        State{"WhileAFurtherAttemptsDialHangs", while_a_further_attempts_dial_hangs},
-                        State{"WithTheRestOfItsBodyToCome", with_the_rest_of_its_body_to_come},
-                        State{"WithTheRestOfItsChunksToCome", with_the_rest_of_its_chunks_to_come},
-                        State{"InTheTurnOfAStreamedBodysEnd", in_the_turn_of_a_streamed_bodys_end},
-                        State{"WhileTheAnswerBeforeIsWritten", while_the_answer_before_is_written},
-                        State{"InThePauseAfterAnError", in_the_pause_after_an_error}),
+        testing::Values(
+            DisconnectCase{"InTheAcceptQueue", in_the_accept_queue},
+            DisconnectCase{"InTheTurnOfItsRequest", in_the_turn_of_its_request},
+            DisconnectCase{"InTheTurnOfItsBodysEnd", in_the_turn_of_its_bodys_end},
+            DisconnectCase{"JustAfterTheConnectCompletes", just_after_the_connect_completes},
+            DisconnectCase{"DuringQuarantineOfTheConnection", during_quarantine_of_the_connection},
+            DisconnectCase{"WhileTheConnectOfARetryIsPending", while_the_connect_of_a_retry_is_pending},
+            DisconnectCase{"WithTheRestOfItsBodyToCome", with_the_rest_of_its_body_to_come},
+            DisconnectCase{"WithTheRestOfItsChunksToCome", with_the_rest_of_its_chunks_to_come},
+            DisconnectCase{"InTheTurnOfAStreamedBodysEnd", in_the_turn_of_a_streamed_bodys_end},
+            DisconnectCase{"WhileTheResponseBeforeIsWritten", while_the_response_before_is_written},
+            DisconnectCase{"InThePauseAfterAnError", in_the_pause_after_an_error}),
         testing::Bool()),
     [](const auto& with) {
-      return std::string(std::get<0>(with.param).name) + (std::get<1>(with.param) ? "ByReset" : "ByEnd");
+      return std::string(std::get<0>(with.param).name) + (std::get<1>(with.param) ? "ByReset" : "ByFin");
     });
 
-TEST_P(Gone, NothingMoreIsSentOn) {
+TEST_P(DisconnectState, NothingMoreIsForwarded) {
   Scene scene(std::get<1>(GetParam()));
   std::get<0>(GetParam()).force(scene);
   if (HasFatalFailure()) return;
-  Wire stays = scene.node.client();
-  stays.write(look("stays").text());
-  if (!scene.server.is_open()) scene.server = Wire(scene.node.server.accept());
-  EXPECT_EQ(field_of(scene.server.read_message(), "X-Request-ID"), "stays");
-  scene.server.write(http_answer(200, "ok"));
-  EXPECT_EQ(body_of(stays.read_message()), "ok");
-  EXPECT_TRUE(scene.node.is_idle());
-  while (scene.node.server.has_waiting()) {  // dials that were out
-    const Wire spare(scene.node.server.accept());
+  Connection connected = scene.node.client();
+  connected.write(get_request("connected").text());
+  if (!scene.server.is_open()) scene.server = Connection(scene.node.server.accept());
+  EXPECT_EQ(read_request_id(scene.server), "connected");
+  scene.server.write(http_response(200, "ok"));
+  EXPECT_EQ(body_of(connected.read_message()), "ok");
+  EXPECT_TRUE(scene.node.has_nothing_in_flight());
+  while (scene.node.server.has_waiting()) {  // connects that were pending
+    const Connection spare(scene.node.server.accept());
     char byte = 0;
-    EXPECT_LE(::recv(spare.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT), 0) << "sent on there";
+    EXPECT_LE(::recv(spare.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT), 0) << "forwarded there";
   }
 }
 
-// A thousand connections, some of them with a request that is out and more behind it than is read ahead, all
-// left in one instant in which the answers come too.
-class GoneUnderLoad : public testing::TestWithParam<bool> {};
-INSTANTIATE_TEST_SUITE_P(By, GoneUnderLoad, testing::Bool(),
-                         [](const auto& with) { return std::string(with.param ? "Reset" : "End"); });
+// A thousand connections, some of them with a request in flight and more behind it than is read ahead, all
+// disconnected in one instant in which the responses come too.
+class MassDisconnect : public testing::TestWithParam<bool> {};
+
+INSTANTIATE_TEST_SUITE_P(By, MassDisconnect, testing::Bool(),
+                         [](const auto& with) { return std::string(with.param ? "Reset" : "Fin"); });
 
-TEST_P(GoneUnderLoad, NothingMoreIsSentOn) {
+TEST_P(MassDisconnect, NothingMoreIsForwarded) {
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
   limit.rlim_cur = limit.rlim_max;
   ::setrlimit(RLIMIT_NOFILE, &limit);
-  const std::size_t idle = limit.rlim_max >= 1200 ? 1000 : 300, busy = 6;
+  const std::size_t idle = limit.rlim_max >= 1200 ? 1000 : 300;
+  const std::size_t busy = 6;
   Gate gate;
-  FakeServer server([&](Wire& wire, const std::string&) {
-    gate.wait();
-    return wire.write(http_answer(200, "ok"));
-  });
-  ConfigText config;
+  FakeServer server(reply_after(gate));
+  NodeConfig config;
   config.sockets = 4096;
-  config.ops = "127.0.0.1:0";
+  config.admin = "127.0.0.1:0";
   config.bounds = R"("cancel":false,"maxAttempts":3,"dialTimeout":14.0,"idleClose":60.0,"maxOpen":4096)";
-  Deployment d({&server}, config);
-  std::vector<Wire> clients;
+  Deployment deployment({&server}, config);
+  std::vector<Connection> clients;
   for (std::size_t i = 0; i < idle; ++i) {
-    clients.push_back(d.client());
-    clients.back().write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-    ASSERT_EQ(status_of(clients.back().read_message()), 200);
+    clients.push_back(deployment.client());
+    ASSERT_EQ(health_status(clients.back()), 200);
   }
   for (std::size_t i = 0; i < busy; ++i) {
-    clients.push_back(d.client());
-    std::string text = look("first" + std::to_string(i)).text();
-    while (text.size() < 40 * kKilo) text += look("behind").text();
+    clients.push_back(deployment.client());
+    std::string text = get_request("first" + std::to_string(i)).text();
+    while (text.size() < 40 * kKibibyte) text += get_request("behind").text();
     clients.back().write(text);
   }
-  ASSERT_TRUE(eventually([&] { return server.requests().size() == busy; }));
-  d.program->stop();
-  for (Wire& client : clients) GetParam() ? client.reset() : client.close();
+  ASSERT_TRUE(server.eventually_received(busy));
+  deployment.program->suspend();
+  for (Connection& client : clients) GetParam() ? client.reset() : client.close();
   gate.open();
-  d.program->go_on();
-  EXPECT_TRUE(
-      eventually([&] { return d.program->call("STATS").find(R"("inflight":0,)") != std::string::npos; }));
-  Wire stays = d.client();
-  stays.write(look("stays").text());
-  EXPECT_EQ(body_of(stays.read_message()), "ok");
+  deployment.program->resume();
+  EXPECT_TRUE(deployment.program->eventually_reports(R"("inflight":0,)"));
+  Connection connected = deployment.client();
+  EXPECT_EQ(body_of(exchange(connected, get_request("connected"))), "ok");
   EXPECT_EQ(server.requests().size(), busy + 1);
 }
 
--- a/tests/node/connection_admission_test.cpp
+++ b/tests/node/connection_admission_test.cpp
@@ -1,33 +1,36 @@
-// The door: descriptors that idle clients fill while discovery is down, and who gets in.
+/// @file
+/// Which clients a node lets in when it runs out of descriptors or connections, and whom it evicts for them.
+#include <gtest/gtest.h>
+
 #include <algorithm>
 #include <charconv>
+#include <deque>
 #include <filesystem>
 #include <set>
+#include <vector>
 
-#include "single_server_deployment.h"
+#include "node_harness.h"
 
 namespace nettleyoke::node {
 namespace {
 
-const std::string kHealth = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
-
-std::set<rlim_t> descriptors_of(const Program& program) {
-  std::set<rlim_t> out;
+std::set<rlim_t> descriptors_of(const NodeProcess& program) {
+  std::set<rlim_t> numbers;
   for (const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(program.pid()) + "/fd")) {
     const std::string name = entry.path().filename();
     rlim_t number = 0;
     std::from_chars(name.data(), name.data() + name.size(), number);
-    out.insert(number);
+    numbers.insert(number);
   }
-  return out;
+  return numbers;
 }
 
 // Leaves a program no descriptor more than it has, whatever it and a sanitizer in it have open: the limit is
 // one on the numbers that are given out.
 class NoMoreDescriptors {
  public:
-  explicit NoMoreDescriptors(const Program& program) : pid_(program.pid()) {
+  explicit NoMoreDescriptors(const NodeProcess& program) : pid_(program.pid()) {
     const std::set<rlim_t> open = descriptors_of(program);
     rlim_t first_free = 0;
     while (open.contains(first_free)) ++first_free;
@@ -44,129 +47,153 @@
   rlimit before_{};
 };
 
-// Guards against a listener that spins, and callers that wait in its queue in vain, where there is no
-// descriptor for them.
-TEST(Door, WhoFindsNoDescriptorIsToldSoOrTakesAnIdleOnesPlace) {
+// Where there is no descriptor for a new connection the listener must not spin, nor may clients wait in its
+// queue in vain.
+TEST(ConnectionAdmission, WithoutFreeDescriptorNewClientIsRejectedOrReplacesIdleOne) {
   Gate gate;
-  FakeServer server([&](Wire& wire, const std::string& request) {
-    if (field_of(request, "X-Request-ID") == "held") gate.wait();
-    return wire.write(http_answer(200, "ok"));
-  });
-  Listener discovery([](Wire& wire) {  // a watch that stays, so that no descriptor comes free with it
-    if (wire.read_message().empty()) return;
-    wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    while (wire.write(chunk("\n"))) std::this_thread::sleep_for(100ms);
+  FakeServer server([&](Connection& connection, const std::string& request) {
+    if (field_of(request, "X-Request-ID") == "busy") gate.wait();
+    return connection.write(http_response(200, "ok"));
   });
-  ConfigText config;
-  config.discovery = discovery.address();
-  config.known = list(7, true, member("s0", server.address()));
-  Program program(config.text());
-  Wire held = Wire::to(program.port());
-  held.write(look("first").text());
-  ASSERT_EQ(status_of(held.read_message()), 200);
-  ASSERT_EQ(discovery.open(), 1);
-  held.write(look("held").text());
-  ASSERT_TRUE(eventually([&] { return server.requests().size() == 2; }));
+  Listener discovery(
+      [](Connection& connection) {  // a watch that stays, so that no descriptor comes free with it
+        if (connection.read_message().empty()) return;
+        connection.write(kChunkedResponseHead);
+        while (connection.write(http_chunk("\n"))) std::this_thread::sleep_for(100ms);
+      });
+  NodeProcess program(config_knowing(server.address(), discovery.address()).text());
+  Connection busy = Connection::to(program.port());
+  ASSERT_EQ(status_of(exchange(busy, get_request("first"))), 200);
+  ASSERT_EQ(discovery.open_connections(), 1);
+  busy.write(get_request("busy").text());
+  ASSERT_TRUE(server.eventually_received(2));
   const NoMoreDescriptors none(program);
-  for (const char* id : {"told", "told too"}) {
-    Wire client = Wire::to(program.port());
-    client.write(look(id).text());
-    const std::string answer = client.read_message();
+  for (const char* id : {"rejected1", "rejected2"}) {
+    Connection client = Connection::to(program.port());
+    const std::string answer = exchange(client, get_request(id));
     EXPECT_EQ(status_of(answer), 503) << id;
     EXPECT_EQ(field_of(answer, "Connection"), "close");
-    EXPECT_EQ(client.read_rest(), "");
+    EXPECT_EQ(client.read_to_end(), "");
   }
   gate.open();
-  ASSERT_EQ(status_of(held.read_message()), 200);
-  Wire client = Wire::to(program.port());
-  client.write(look("served").text());
-  EXPECT_EQ(status_of(client.read_message()), 200);
-  EXPECT_EQ(held.read_rest(), "") << "it made way";
+  ASSERT_EQ(status_of(busy.read_message()), 200);
+  Connection client = Connection::to(program.port());
+  EXPECT_EQ(status_of(exchange(client, get_request("served"))), 200);
+  EXPECT_EQ(busy.read_to_end(), "") << "it was evicted";
 }
 
-// In both ways to be told of changes.
-class IdleCrowd : public testing::TestWithParam<const char*> {};
-INSTANTIATE_TEST_SUITE_P(Mode, IdleCrowd, testing::Values("subscribe", "automatic"),
+// In both modes of the registry.
+class IdleConnections : public testing::TestWithParam<const char*> {};
+
+INSTANTIATE_TEST_SUITE_P(Mode, IdleConnections, testing::Values("subscribe", "automatic"),
                          [](const auto& with) { return std::string(with.param); });
 
-// Guards against idle clients that hold the descriptors while discovery is down: who asks is served all the
-// same, operators get through, what is open is not lost, and the next watch and the connections to a new
+// Idle clients may hold the descriptors while discovery is down: active clients are served all the same,
+// operators get through, what is in flight is not lost, and the next watch and the connections to a new
 // server find theirs.
-TEST_P(IdleCrowd, KeepsOutNobodyWhileDiscoveryIsDown) {
+TEST_P(IdleConnections, WhileDiscoveryIsDownDoNotKeepOutActiveClients) {
   Gate gate;
-  FakeServer one([&](Wire& wire, const std::string& request) {
-    if (field_of(request, "X-Request-ID") == "held") gate.wait();
-    return wire.write(http_answer(200, "one"));
+  FakeServer one([&](Connection& connection, const std::string& request) {
+    if (field_of(request, "X-Request-ID") == "busy") gate.wait();
+    return connection.write(http_response(200, "one"));
   });
-  FakeServer two(replies(200, "two"));
-  const int port = Listener([](Wire&) {}).port();
-  constexpr rlim_t kMost = 128;
-  ConfigText config;
+  FakeServer two(always_reply(200, "two"));
+  const int port = unused_port();
+  constexpr rlim_t kMostDescriptors = 128;
+  NodeConfig config;
   config.discovery = "127.0.0.1:" + std::to_string(port);  // refused
-  config.known = list(7, true, member("s0", one.address()));
-  config.mode = GetParam();
-  config.sockets = kMost;
-  config.ops = "127.0.0.1:0";
-  Program program(config.text(), kMost);
-  Wire held = Wire::to(program.port());
-  held.write(look("held").text());
-  ASSERT_TRUE(eventually([&] { return one.requests().size() == 1; }));
-  std::deque<Wire> idle;
-  const auto crowd = [&](int n) {
-    for (int i = 0; i < n; ++i) {
-      idle.push_back(Wire::to(program.port()));
-      if (i % 2 == 0) idle.back().write(kHealth);  // and nothing more
+  config.known_list = endpoint_list(7, true, endpoint("s0", one.address()));
+  config.registry_mode = GetParam();
+  config.sockets = kMostDescriptors;
+  config.admin = "127.0.0.1:0";
+  NodeProcess program(config.text(), {.descriptor_limit = kMostDescriptors});
+  Connection busy = Connection::to(program.port());
+  busy.write(get_request("busy").text());
+  ASSERT_TRUE(one.eventually_received(1));
+  std::deque<Connection> idle;
+  const auto connect_idle_clients = [&](int count) {
+    for (int i = 0; i < count; ++i) {
+      idle.push_back(Connection::to(program.port()));
+      if (i % 2 == 0) idle.back().write(kHealthRequest);  // and nothing more
     }
     while (idle.size() > 400) idle.pop_front();
   };
-  crowd(200);
-  int n = 0;
-  const auto ask = [&] {
-    Wire client = Wire::to(program.port());
-    client.write(look("r" + std::to_string(++n)).text());
-    const std::string answer = client.read_message();
-    EXPECT_EQ(status_of(answer), 200) << n;
+  connect_idle_clients(200);
+  int count = 0;
+  const auto body_of_next = [&] {
+    Connection client = Connection::to(program.port());
+    const std::string answer = exchange(client, get_request("r" + std::to_string(++count)));
+    EXPECT_EQ(status_of(answer), 200) << count;
     idle.push_back(std::move(client));
     return body_of(answer);
   };
   for (int i = 0; i < 30; ++i) {
-    EXPECT_EQ(ask(), "one");
-    crowd(10);
-    EXPECT_NE(program.call("STATS").find(R"("hosts_listed":1,)"), std::string::npos);
-    EXPECT_LE(descriptors_of(program).size(), kMost);
+    EXPECT_EQ(body_of_next(), "one");
+    connect_idle_clients(10);
+    EXPECT_NE(program.admin_command("STATS").find(R"("hosts_listed":1,)"), std::string::npos);
+    EXPECT_LE(descriptors_of(program).size(), kMostDescriptors);
   }
   FakeDiscovery discovery(port);
-  ASSERT_TRUE(discovery.say(
-      list(8, true, member("s0", one.address(), "draining") + "," + member("s1", two.address()))));
+  ASSERT_TRUE(discovery.send_list(endpoint_list(
+      8, true, endpoint("s0", one.address(), "draining") + "," + endpoint("s1", two.address()))));
   EXPECT_TRUE(eventually([&] {
-    crowd(10);
-    return ask() == "two";
+    connect_idle_clients(10);
+    return body_of_next() == "two";
   }));
   gate.open();
-  EXPECT_EQ(body_of(held.read_message()), "one");
+  EXPECT_EQ(body_of(busy.read_message()), "one");
 }
 
-// Guards against a connection that is closed for others while its next request is there, unread.
-TEST(Door, ARequestThatCrossesItsEvictionIsAnswered) {
-  FakeServer server(replies(200, "ok"));
-  ConfigText config;
-  config.sockets = 64;  // 20 connections of callers, and 5 to be turned away
-  Deployment d({&server}, config);
-  std::vector<Wire> callers;
+// A connection must not be evicted while its next request is there, unread.
+TEST(ConnectionAdmission, UnreadRequestOnAConnectionToBeEvictedIsAnswered) {
+  OneServerDeployment deployment(always_reply(200, "ok"),
+                                 {.sockets = 64});  // 20 client connections, and 5 to be rejected
+  std::vector<Connection> clients;
   for (int i = 0; i < 20; ++i) {
-    callers.push_back(d.client());
-    callers.back().write(kHealth);
-    ASSERT_EQ(status_of(callers.back().read_message()), 200);
+    clients.push_back(deployment.client());
+    ASSERT_EQ(health_status(clients.back()), 200);
   }
-  d.program->stop();
-  for (int i = 0; i < 20; ++i) callers.push_back(d.client());
-  for (std::size_t i = 0; i < callers.size(); ++i) callers[i].write(look("r" + std::to_string(i)).text());
-  d.program->go_on();
-  for (std::size_t i = 0; i < callers.size(); ++i) {
-    const int status = status_of(callers[i].read_message());
+  deployment.program->suspend();
+  for (int i = 0; i < 20; ++i) clients.push_back(deployment.client());
+  for (std::size_t i = 0; i < clients.size(); ++i)
+    clients[i].write(get_request("r" + std::to_string(i)).text());
+  deployment.program->resume();
+  for (std::size_t i = 0; i < clients.size(); ++i) {
+    const int status = status_of(clients[i].read_message());
     EXPECT_TRUE(status == 200 || status == 503) << i << ": " << status;
   }
 }
 
+TEST(ConnectionAdmission, ClientEvictedDuringItsRequestIsRejected) {
+  OneServerDeployment deployment(always_reply(200, "ok"), {.sockets = 64});  // 20 client connections
+  std::vector<Connection> slow;
+  for (int i = 0; i < 20; ++i) {
+    slow.push_back(deployment.client());
+    slow.back().write("GET /look/k1 HTTP/1.1\r\n");
+  }
+  // All of them have been read from once a later one, for which one of them is evicted, is served.
+  int count = 0;
+  ASSERT_TRUE(eventually([&] {
+    Connection late = deployment.client();
+    return status_of(exchange(late, get_request("late" + std::to_string(++count)))) == 200;
+  }));
+  const std::string answer = slow.front().read_message();
+  EXPECT_EQ(status_of(answer), 503);
+  EXPECT_EQ(field_of(answer, "Connection"), "close");
+}
+
+TEST(ConnectionAdmission, ServesAgainAfterRunningOutOfDescriptors) {
+  FakeServer server(always_reply(200, "ok"));
+  NodeConfig config;
+  config.sockets = 1024;
+  Deployment deployment({&server}, config, {.descriptor_limit = 64});
+  {
+    std::vector<Connection> clients;
+    for (int i = 0; i < 200; ++i) clients.push_back(deployment.client());
+    ASSERT_TRUE(deployment.program->is_running());
+  }
+  EXPECT_TRUE(deployment.eventually_answers_with_status(200));
+}
+
 }  // namespace
 }  // namespace nettleyoke::node
--- /dev/null
+++ b/tests/node/connection_shutdown_race_test.cpp
@@ -0,0 +1,151 @@
+/// @file
+/// Connections and requests that cross the end of a node, and the end of a server while a connect to it is
+/// pending.
+#include <gtest/gtest.h>
+
+#include "harness/held_server_deployment.h"
+#include "node_harness.h"
+
+namespace nettleyoke::node {
+namespace {
+
+class PendingConnect : public testing::TestWithParam<bool> {};
+
+INSTANTIATE_TEST_SUITE_P(ToAServerThat, PendingConnect, testing::Bool(), [](const auto& with) {
+  return std::string(with.param ? "IsDisabled" : "IsDraining");
+});
+
+// A server that is draining or disabled must not get new work on a connection that was asked for before.
+TEST_P(PendingConnect, ToALeavingServerCarriesNoRequest) {
+  HeldServerDeployment node;
+  FakeServer other(always_reply(200, "other"));
+  node.server.fill_queue();
+  Connection client = node.client();
+  client.write(RequestBuilder{}.text());
+  ASSERT_TRUE(node.server.eventually_has_pending_connects(1));
+  const std::string s0 = endpoint("s0", node.server.address(), GetParam() ? "up" : "draining");
+  ASSERT_TRUE(node.discovery.send_list(endpoint_list(8, false, s0 + "," + endpoint("s1", other.address()))));
+  ASSERT_TRUE(node.program->eventually_reports(R"("hosts_listed":2,)"));
+  if (GetParam()) {
+    EXPECT_EQ(node.program->admin_command("DISABLE s0"), "YES\n");
+  }
+  Connection server(node.server.accept());
+  EXPECT_EQ(body_of(client.read_message()), "other");
+  EXPECT_EQ(server.read_to_end(), "");
+}
+
+class BodyInProgress : public testing::TestWithParam<bool> {};
+
+INSTANTIATE_TEST_SUITE_P(ThatIs, BodyInProgress, testing::Bool(),
+                         [](const auto& with) { return std::string(with.param ? "Streamed" : "Buffered"); });
+
+// The time of a request begins with its last byte: where that is after SIGTERM, the request must not outlast
+// the kill.
+TEST_P(BodyInProgress, AtSigtermIsAnsweredBeforeTheKill) {
+  HeldServerDeployment node;
+  Connection client = node.client();
+  Connection probe = node.client();
+  const std::string text =
+      RequestBuilder{.body = std::string(GetParam() ? 1200 * kKibibyte : 100 * kKibibyte, 'b')}.text();
+  std::size_t at = text.size() - 32 * kKibibyte;
+  client.write(text.substr(0, at));
+  Connection server{FileDescriptor()};
+  if (GetParam()) server = Connection(node.server.accept());
+  const auto start = std::chrono::steady_clock::now();
+  node.program->signal(SIGTERM);
+  ASSERT_TRUE(eventually([&] {
+    client.write(text.substr(at++, 1));  // it may not pause
+    return health_status(probe) == 503;
+  }));
+  client.write(text.substr(at));
+  if (!GetParam()) server = Connection(node.server.accept());
+  for (std::size_t received = 0; received < text.size() - kKibibyte;) {
+    const std::string piece = server.read_some();
+    ASSERT_NE(piece, "");
+    received += piece.size();
+  }
+  EXPECT_EQ(status_of(client.read_message()), 502);
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client would have waited 15 s";
+  EXPECT_EQ(node.program->exit_status(), 0);
+}
+
+// Requests that were read must not be dropped with the connection, in the pause after an error: one that has
+// more of them goes on until a response says that the connection closes.
+TEST(GracefulShutdown, RequestPipelinedBehindAnErrorIsAnswered) {
+  OneServerDeployment deployment(always_reply(200, "ok"), {.classes = short_classes()});
+  std::string requests;
+  for (int i = 0; i < 20; ++i)
+    requests += RequestBuilder{.request_class = "unknown", .body = ""}.text() +
+                RequestBuilder{.id = "r" + std::to_string(i), .timeout_ms = "500"}.text();
+  std::vector<Connection> clients;
+  for (int i = 0; i < 5; ++i) {
+    clients.push_back(deployment.client());
+    clients.back().write(requests);
+    ASSERT_EQ(status_of(clients.back().read_message()), 400);
+  }
+  deployment.program->signal(SIGTERM);
+  for (Connection& client : clients) {
+    std::string last;
+    for (std::string next = client.read_message(); !next.empty(); next = client.read_message()) last = next;
+    EXPECT_EQ(field_of(last, "Connection"), "close") << last;
+  }
+  EXPECT_EQ(deployment.program->exit_status(), 0);
+}
+
+// A large response in progress, of which the client has a part.
+struct StreamedResponse {
+  explicit StreamedResponse(std::string head) {
+    server = std::make_unique<FakeServer>(
+        [this, head = std::move(head)](Connection& connection, const std::string&) {
+          connection.write(head + std::string(512 * kKibibyte, 'a'));
+          gate.wait();
+          return connection.write(std::string(512 * kKibibyte, 'b')) && false;
+        });
+    deployment = std::make_unique<Deployment>(std::vector<FakeServer*>{server.get()});
+    client = deployment->client();
+    client.write(RequestBuilder{}.text());
+    while (received.size() < 256 * kKibibyte) {
+      const std::string piece = client.read_some();
+      if (piece.empty()) break;
+      received += piece;
+    }
+  }
+  Gate gate;
+  std::unique_ptr<FakeServer> server;
+  std::unique_ptr<Deployment> deployment;
+  Connection client{FileDescriptor()};
+  std::string received;
+};
+
+// The connection of a streamed response does not stay for as long as one that is idle.
+TEST(GracefulShutdown, StreamedResponseIsCompleted) {
+  StreamedResponse response("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kMebibyte) + "\r\n\r\n");
+  NodeConfig config = response.deployment->config;
+  config.classes = short_classes();
+  response.deployment->reload(config);
+  Connection idle = response.deployment->client();
+  ASSERT_EQ(health_status(idle), 200);
+  response.deployment->program->signal(SIGTERM);
+  EXPECT_EQ(idle.read_to_end(), "") << "idle connections are closed first";
+  const auto start = std::chrono::steady_clock::now();
+  response.gate.open();
+  response.received += response.client.read_to_end();
+  EXPECT_EQ(body_of(response.received).size(), kMebibyte);
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 7s) << "a connection that is idle may stay for 10 s";
+  EXPECT_EQ(response.deployment->program->exit_status(), 0);
+}
+
+// A response that the kill cuts off must not pass for a complete one.
+TEST(GracefulShutdown, StreamedResponseCutByAKillIsNotComplete) {
+  StreamedResponse response("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+  response.deployment->program->signal(SIGTERM);
+  response.deployment->program->signal(SIGKILL);
+  response.received += response.client.read_to_end();
+  EXPECT_NE(field_of(response.received, "Transfer-Encoding"), "") << response.received.substr(0, 200);
+  EXPECT_EQ(response.received.find("\r\n0\r\n"), std::string::npos);
+  EXPECT_EQ(response.deployment->program->exit_status(), -1);
+  response.gate.open();
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -1,152 +1,185 @@
-// Drains: what crosses the end of a node, and the end of a server while a connection to it is on its way.
-#include "single_server_deployment.h"
+/// @file
+/// A node that drains after SIGTERM: whom it goes on serving, for how long, and that it ends with success.
+#include <gtest/gtest.h>
 
-namespace nettleyoke::node {
-namespace {
+#include <vector>
 
-const std::string kHealth = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
-const std::string kShort = R"({"name":"close","aim":0.3,"giveUp":0.5,"effect":"unsafe","lateWorth":0.5})";
+#include "node_harness.h"
 
-// ---------------------------------------------------------------- servers
-
-class LateDial : public testing::TestWithParam<bool> {};
-INSTANTIATE_TEST_SUITE_P(ToOneThat, LateDial, testing::Bool(),
-                         [](const auto& with) { return std::string(with.param ? "IsDisabled" : "Drains"); });
+namespace nettleyoke::node {
+namespace {
 
-// Guards against new work for a server that wants none, on a connection that was asked for before.
-TEST_P(LateDial, CarriesNothing) {
-  OneServer node;
-  FakeServer other(replies(200, "other"));
-  node.server.fill();
-  Wire client = node.client();
-  client.write(Ask{}.text());
-  ASSERT_TRUE(eventually([&] { return node.server.dials() == 1; }));
-  const std::string s0 = member("s0", node.server.address(), GetParam() ? "up" : "draining");
-  ASSERT_TRUE(node.discovery.say(list(8, false, s0 + "," + member("s1", other.address()))));
-  ASSERT_TRUE(eventually(
-      [&] { return node.program->call("STATS").find(R"("hosts_listed":2,)") != std::string::npos; }));
-  if (GetParam()) {
-    EXPECT_EQ(node.program->call("DISABLE s0"), "YES\n");
+TEST(GracefulShutdown, RequestsInFlightAreAnsweredBeforeTheExit) {
+  Gate gate;
+  OneServerDeployment deployment(reply_after(gate));
+  Connection in_flight = deployment.client();
+  in_flight.write(RequestBuilder{}.text());
+  ASSERT_TRUE(deployment.server.eventually_received(1));
+  deployment.program->signal(SIGTERM);
+  Connection late = deployment.client();  // it goes on accepting for a while
+  late.write(RequestBuilder{.id = "late"}.text());
+  ASSERT_TRUE(deployment.server.eventually_received(2));
+  ASSERT_TRUE(eventually([&] { return !deployment.client().is_open(); }));
+  EXPECT_TRUE(deployment.program->is_running()) << "two answers are owed";
+  gate.open();
+  for (Connection* client : {&in_flight, &late}) {
+    const std::string answer = client->read_message();
+    EXPECT_EQ(status_of(answer), 200);
   }
-  Wire server(node.server.accept());
-  EXPECT_EQ(body_of(client.read_message()), "other");
-  EXPECT_EQ(server.read_rest(), "");
+  EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// ---------------------------------------------------------------- SIGTERM
-
-class ComingBody : public testing::TestWithParam<bool> {};
-INSTANTIATE_TEST_SUITE_P(ThatIs, ComingBody, testing::Bool(),
-                         [](const auto& with) { return std::string(with.param ? "Streamed" : "Held"); });
-
-// Guards against a request whose time begins after SIGTERM, with its last byte, and outlasts the kill.
-TEST_P(ComingBody, HasItsAnswerBeforeTheKill) {
-  OneServer node;
-  Wire client = node.client(), probe = node.client();
-  const std::string text = Ask{.body = std::string(GetParam() ? 1200 * kKilo : 100 * kKilo, 'b')}.text();
-  std::size_t at = text.size() - 32 * kKilo;
-  client.write(text.substr(0, at));
-  Wire server{Fd()};
-  if (GetParam()) server = Wire(node.server.accept());
+// A restart must not leave clients without a node for longer than need be: they go on using the connections
+// that they have; but nothing is admitted that could not be answered in time.
+TEST(GracefulShutdown, OpenConnectionsAreServedWhileDraining) {
+  std::atomic<bool> silent = false;
+  FakeServer server([&](Connection& connection, const std::string&) {
+    return silent || connection.write(http_response(200, "ok"));
+  });
+  Deployment deployment({&server});
+  Connection client = deployment.client();
+  Connection other = deployment.client();
+  ASSERT_EQ(status_of(exchange(client, {.id = "before"})), 200);
   const auto start = std::chrono::steady_clock::now();
-  node.program->signal(SIGTERM);
-  ASSERT_TRUE(eventually([&] {
-    client.write(text.substr(at++, 1));  // it may not pause
-    probe.write(kHealth);
-    return status_of(probe.read_message()) == 503;
-  }));
-  client.write(text.substr(at));
-  if (!GetParam()) server = Wire(node.server.accept());
-  for (std::size_t came = 0; came < text.size() - kKilo;) {
-    const std::string piece = server.read_some();
-    ASSERT_NE(piece, "");
-    came += piece.size();
+  deployment.program->signal(SIGTERM);
+  ASSERT_TRUE(eventually([&] { return !deployment.client().is_open(); }));
+  for (int i = 0; i < 3; ++i) {
+    EXPECT_EQ(status_of(exchange(client, {.id = "during" + std::to_string(i)})), 200);
   }
-  EXPECT_EQ(status_of(client.read_message()), 502);
+  silent = true;
+  const std::string answer = exchange(other, {.id = "unanswered", .timeout_ms = "15000"});
+  EXPECT_EQ(status_of(answer), 502) << answer;
+  EXPECT_EQ(deployment.program->exit_status(), 0);
   EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client would have waited 15 s";
-  EXPECT_EQ(node.program->exit_status(), 0);
 }
 
-// Guards against turns that were read and are dropped with the connection, in the pause after an error: one
-// that has more of them goes on until an answer says that the connection closes.
-TEST(Drain, ATurnInThePauseAfterAnErrorIsAnswered) {
-  FakeServer server(replies(200, "ok"));
-  ConfigText config;
-  config.classes = kShort;
-  Deployment d({&server}, config);
-  std::string turns;
-  for (int i = 0; i < 20; ++i)
-    turns +=
-        Ask{.kind = "dance", .body = ""}.text() + Ask{.id = "r" + std::to_string(i), .timeout = "500"}.text();
-  std::vector<Wire> clients;
-  for (int i = 0; i < 5; ++i) {
-    clients.push_back(d.client());
-    clients.back().write(turns);
-    ASSERT_EQ(status_of(clients.back().read_message()), 400);
-  }
-  d.program->signal(SIGTERM);
-  for (Wire& client : clients) {
-    std::string last;
-    for (std::string next = client.read_message(); !next.empty(); next = client.read_message()) last = next;
-    EXPECT_EQ(field_of(last, "Connection"), "close") << last;
+// Clients that find no free connection once, while no new ones are accepted, would turn from a node that
+// could serve them for seconds.
+TEST(GracefulShutdown, AQuarterOfTheConnectionsIsKeptFree) {
+  Gate gate;
+  OneServerDeployment deployment(reply_after(gate));
+  std::vector<Connection> clients;
+  for (int i = 0; i < 8; ++i) {
+    clients.push_back(deployment.client());
+    ASSERT_EQ(health_status(clients.back()), 200);
   }
-  EXPECT_EQ(d.program->exit_status(), 0);
+  Connection& last = clients.back();
+  deployment.program->signal(SIGTERM);
+  ASSERT_TRUE(eventually([&] { return health_status(last) == 503; }));
+  for (std::size_t i = 0; i < 6; ++i) clients[i].write(RequestBuilder{.id = "r" + std::to_string(i)}.text());
+  ASSERT_TRUE(deployment.server.eventually_received(6));
+  EXPECT_EQ(status_of(exchange(last, {.id = "seventh"})), 503) << "two of eight are kept free";
+  gate.open();
+  for (std::size_t i = 0; i < 6; ++i) EXPECT_EQ(status_of(clients[i].read_message()), 200);
+  EXPECT_EQ(status_of(exchange(last, {.id = "again"})), 200);
+  EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// A large answer on its way, of which the client has had a part.
-struct Streaming {
-  explicit Streaming(std::string head) {
-    server = std::make_unique<FakeServer>([this, head = std::move(head)](Wire& wire, const std::string&) {
-      wire.write(head + std::string(512 * kKilo, 'a'));
-      gate.wait();
-      return wire.write(std::string(512 * kKilo, 'b')) && false;
-    });
-    d = std::make_unique<Deployment>(std::vector<FakeServer*>{server.get()});
-    client = d->client();
-    client.write(Ask{}.text());
-    while (got.size() < 256 * kKilo) {
-      const std::string piece = client.read_some();
-      if (piece.empty()) break;
-      got += piece;
-    }
-  }
+// The gap between two processes must not be longer than need be: a response takes 0.1 s or so.
+TEST(GracefulShutdown, IdleConnectionsStayUntilNearTheEnd) {
+  OneServerDeployment deployment;
+  Connection client = deployment.client();
+  ASSERT_EQ(status_of(exchange(client, {})), 200);
+  const auto start = std::chrono::steady_clock::now();
+  deployment.program->signal(SIGTERM);
+  EXPECT_EQ(client.read_to_end(), "");
+  EXPECT_GT(std::chrono::steady_clock::now() - start, 2700ms) << "it may be killed after 3.7 s";
+  EXPECT_EQ(deployment.program->exit_status(), 0);
+}
+
+TEST(GracefulShutdown, FirstRequestThatCrossesSigtermIsServed) {
+  OneServerDeployment deployment;
+  Connection fresh = deployment.client();
+  deployment.program->signal(SIGTERM);
+  ASSERT_TRUE(eventually([&] { return !deployment.client().is_open(); }));
+  EXPECT_EQ(status_of(exchange(fresh, {})), 200);
+  EXPECT_EQ(deployment.program->exit_status(), 0);
+}
+
+// A drain that lasted by the timeouts of classes that are gone, while the kill comes by those that are in
+// force, would lose what clients send in between.
+TEST(GracefulShutdown, LastsByTheClassesInForceAfterAReload) {
+  OneServerDeployment deployment;
+  Connection client = deployment.client();
+  ASSERT_EQ(status_of(exchange(client, {})), 200);
+  NodeConfig config = deployment.config;
+  config.classes = short_classes();
+  deployment.reload(config);
+  const auto start = std::chrono::steady_clock::now();
+  deployment.program->signal(SIGTERM);
+  EXPECT_EQ(client.read_to_end(), "");
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 2s)
+      << "2.8 s by the classes before, and the kill at 1.2";
+  EXPECT_EQ(deployment.program->exit_status(), 0);
+}
+
+TEST(GracefulShutdown, RequestOfADroppedClassKeepsItsTimeout) {
   Gate gate;
-  std::unique_ptr<FakeServer> server;
-  std::unique_ptr<Deployment> d;
-  Wire client{Fd()};
-  std::string got;
-};
+  OneServerDeployment deployment(reply_after(gate));
+  Connection client = deployment.client();
+  Connection idle = deployment.client();
+  ASSERT_EQ(health_status(idle), 200);
+  client.write(get_request("open").text());
+  ASSERT_TRUE(deployment.server.eventually_received(1));
+  NodeConfig config = deployment.config;
+  config.classes = short_classes();
+  deployment.reload(config);
+  deployment.program->signal(SIGTERM);
+  EXPECT_EQ(idle.read_to_end(), "") << "idle connections are closed first";
+  gate.open();
+  EXPECT_EQ(status_of(client.read_message()), 200);
+  EXPECT_EQ(deployment.program->exit_status(), 0);
+}
 
-// And its connection does not stay for as long as others that are idle.
-TEST(Drain, AStreamedAnswerGoesOn) {
-  Streaming s("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kMega) + "\r\n\r\n");
-  ConfigText config = s.d->told;
-  config.classes = kShort;
-  s.d->program->reload(config.text());
-  ASSERT_TRUE(eventually([&] { return s.d->program->logged("reload: ") == 1; }));
-  Wire idle = s.d->client();
-  idle.write(kHealth);
-  ASSERT_EQ(status_of(idle.read_message()), 200);
-  s.d->program->signal(SIGTERM);
-  EXPECT_EQ(idle.read_rest(), "") << "the drain is over for those that ask nothing";
+// Requests in flight at the start of a drain must not be so still when the process is killed.
+TEST(GracefulShutdown, RequestInFlightFailsBeforeTheKill) {
+  OneServerDeployment deployment(never_reply());
+  Connection client = deployment.client();
+  Connection silent = deployment.client();
+  client.write(RequestBuilder{}.text());
+  ASSERT_TRUE(deployment.server.eventually_received(1));
+  deployment.program->signal(SIGTERM);
   const auto start = std::chrono::steady_clock::now();
-  s.gate.open();
-  s.got += s.client.read_rest();
-  EXPECT_EQ(body_of(s.got).size(), kMega);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 7s) << "a connection that is idle may stay for 10 s";
-  EXPECT_EQ(s.d->program->exit_status(), 0);
+  EXPECT_EQ(status_of(client.read_message()), 502);
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client would have waited 15 s";
+  EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// Guards against an answer that the kill cuts off and that passes for a whole one.
-TEST(Drain, AStreamedAnswerThatTheKillCutsIsNotWhole) {
-  Streaming s("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-  s.d->program->signal(SIGTERM);
-  s.d->program->signal(SIGKILL);
-  s.got += s.client.read_rest();
-  EXPECT_NE(field_of(s.got, "Transfer-Encoding"), "") << s.got.substr(0, 200);
-  EXPECT_EQ(s.got.find("\r\n0\r\n"), std::string::npos);
-  EXPECT_EQ(s.d->program->exit_status(), -1);
-  s.gate.open();
+// Closing a listener resets all connections in its queue that there was no capacity for.
+TEST(GracefulShutdown, ConnectionsInTheAcceptQueueAreAnswered) {
+  Gate gate;
+  FakeServer server(reply_after(gate));
+  NodeConfig config;
+  config.sockets = 64;  // 20 client connections, and 5 to be rejected
+  Deployment deployment({&server}, config);
+  std::vector<Connection> clients;
+  for (int i = 0; i < 40; ++i) {
+    clients.push_back(deployment.client());
+    clients.back().write(get_request("r" + std::to_string(i)).text());
+  }
+  ASSERT_TRUE(eventually([&] { return !server.requests().empty(); }));
+  deployment.program->signal(SIGTERM);
+  std::this_thread::sleep_for(1s);  // past the time in which new connections are accepted
+  gate.open();
+  for (std::size_t i = 0; i < clients.size(); ++i) EXPECT_NE(status_of(clients[i].read_message()), 0) << i;
+  EXPECT_EQ(deployment.program->exit_status(), 0);
+}
+
+// A connection that came up just before the listener closed, and whose first request is on its way.
+TEST(GracefulShutdown, NewConnectionIsKeptForItsFirstRequest) {
+  // The listener and the idle connections are closed in one turn of the event loop.
+  OneServerDeployment deployment(always_reply(200, "ok"), {.classes = short_classes()});
+  deployment.program->signal(SIGTERM);
+  std::vector<Connection> clients;
+  for (Connection next = deployment.client(); next.is_open(); next = deployment.client()) {
+    clients.push_back(std::move(next));
+    if (clients.size() > 20) clients.erase(clients.begin());  // each is newer than the one before
+    std::this_thread::sleep_for(5ms);
+  }
+  ASSERT_FALSE(clients.empty());
+  clients.back().write(RequestBuilder{.timeout_ms = "400"}.text());
+  EXPECT_NE(status_of(clients.back().read_message()), 0);
+  EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/node/harness/node_config.h
@@ -0,0 +1,66 @@
+/// @file
+/// The text of a node's configuration file.
+#pragma once
+
+#include <string>
+
+#include "harness/fake_discovery.h"
+
+namespace nettleyoke::node {
+
+/// One class of requests, as the settings write it.
+/// @param rest  further members, each with the comma before it
+inline std::string class_json(const std::string& name, const std::string& effect,
+                              const std::string& rest = "", const std::string& aim = "5.0",
+                              const std::string& give_up = "15.0") {
+  return R"({"name":")" + name + R"(","aim":)" + aim + R"(,"giveUp":)" + give_up + R"(,"effect":")" + effect +
+         R"(")" + rest + R"(,"lateWorth":0.5})";
+}
+
+/// The members of a configuration that tests change; addresses are "host:port".
+struct NodeConfig {
+  std::string discovery = "127.0.0.1:9";
+  std::string known_list = {};  ///< as JSON; empty: none
+  std::string listen = "127.0.0.1:0";
+  std::string registry_mode = "subscribe";  ///< or "automatic"
+  std::string admin = {};                   ///< empty: no admin server
+  int sockets = 256;
+  int memory_mb = 192;
+  std::string bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
+                       R"("secondCopies":true,"dialTimeout":0.5,"idleClose":60.0)";
+  std::string classes = class_json("look", "safe") + "," +
+                        class_json("mark", "keyed", R"(,"group":"cell","dedupWindow":15.0)") + "," +
+                        class_json("close", "unsafe");
+
+  std::string text() const {
+    return R"({"name":"n0","listen":")" + listen + R"(","discovery":")" + discovery +
+           R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":)" + std::to_string(memory_mb) +
+           R"(,"sockets":)" + std::to_string(sockets) + "}," +
+           (known_list.empty() ? "" : R"("known":)" + known_list + ",") +
+           (admin.empty() ? "" : R"("ops":")" + admin + "\",") +
+           R"("settings":{"azs":["a"],"peersTotal":1,"position":0,"stage":0,"zone":0,"granularity":0.005,)" +
+           R"("registryMode":")" + registry_mode + R"(","bounds":{)" + bounds + R"(},"categories":[)" +
+           classes + R"(],"realms":[{"name":"acme","share":1.0}],"rules":{"askWithin":10.0}}})";
+  }
+};
+
+/// The class that most requests are of, with so short a client timeout that a drain is soon over.
+inline std::string short_classes() { return class_json("close", "unsafe", "", "0.3", "0.5"); }
+
+/// The bounds of a node whose connects to servers may hang for as long as a test needs.
+inline std::string bounds_with_slow_connects(const std::string& can_cancel = "true",
+                                             const std::string& connect_timeout = "14.0") {
+  return R"("cancel":)" + can_cancel + R"(,"maxAttempts":3,"dialTimeout":)" + connect_timeout +
+         R"(,"idleClose":60.0)";
+}
+
+/// A configuration that knows one server, s0, and no discovery but the given one.
+inline NodeConfig config_knowing(const std::string& server_address,
+                                 const std::string& discovery = "127.0.0.1:9") {
+  NodeConfig config;
+  config.discovery = discovery;
+  config.known_list = endpoint_list(7, true, endpoint("s0", server_address));
+  return config;
+}
+
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/tests/node/harness/request_builder.h
@@ -0,0 +1,35 @@
+/// @file
+/// The requests of clients, valid unless a test asks for something else.
+#pragma once
+
+#include <string>
+
+namespace nettleyoke::node {
+
+/// A request to a node; a field that is empty is left out of its text.
+struct RequestBuilder {
+  std::string request_class = "close";
+  std::string id = "r1";
+  std::string method = "POST";
+  std::string body = "{}";
+  std::string path = {};    ///< empty: one of the class
+  std::string fields = {};  ///< further header fields, each with its line end
+  std::string timeout_ms = "15000";
+  std::string idempotency_key = {};
+
+  std::string text() const {
+    return method + " " + (path.empty() ? "/" + request_class + "/k1?x=1" : path) +
+           " HTTP/1.1\r\nHost: origin.svc\r\n" + (id.empty() ? "" : "X-Request-ID: " + id + "\r\n") +
+           "X-Priority-Class: " + request_class + "\r\nX-Tenant-Id: acme\r\n" +
+           (timeout_ms.empty() ? "" : "X-Timeout-Ms: " + timeout_ms + "\r\n") +
+           (idempotency_key.empty() ? "" : "Idempotency-Key: " + idempotency_key + "\r\n") + fields +
+           (body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" + body;
+  }
+};
+
+/// A request of the idempotent class, which has no body.
+inline RequestBuilder get_request(const std::string& id) {
+  return {.request_class = "look", .id = id, .method = "GET", .body = ""};
+}
+
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/tests/node/large_body.h
@@ -0,0 +1,52 @@
+/// @file
+/// Bodies of any size, and their chunked form.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <sstream>
+#include <string>
+
+#include "harness/http_text.h"
+
+namespace nettleyoke::node {
+
+/// A body that is not the same anywhere: a piece that is lost, doubled or swapped shows.
+inline std::string large_body(std::size_t size) {
+  std::string body(size, '\0');
+  std::uint32_t state = 1;
+  for (char& c : body) {
+    state = state * 1664525U + 1013904223U;
+    c = static_cast<char>('a' + (state >> 24) % 26);
+  }
+  return body;
+}
+
+/// A body in chunks, up to the line of the last one: the trailers and the empty line are left to the caller.
+/// @param extension  of each chunk, with its semicolon
+inline std::string chunked(const std::string& body, std::size_t chunk_size,
+                           const std::string& extension = "") {
+  std::ostringstream out;
+  for (std::size_t at = 0; at < body.size(); at += chunk_size) {
+    const std::string part = body.substr(at, chunk_size);
+    out << std::hex << part.size() << extension << "\r\n" << part << "\r\n";
+  }
+  out << "0\r\n";
+  return out.str();
+}
+
+/// The body that is carried in chunks; nothing where they are not complete.
+inline std::optional<std::string> dechunked(const std::string& raw) {
+  std::string body;
+  for (std::size_t at = 0;;) {
+    const std::size_t end = raw.find("\r\n", at);
+    if (end == std::string::npos) return std::nullopt;
+    const std::size_t size = std::stoul(raw.substr(at, end - at), nullptr, 16);
+    if (size == 0) return body;
+    if (raw.size() < end + 2 + size + 2) return std::nullopt;
+    body += raw.substr(end + 2, size);
+    at = end + 2 + size + 2;
+  }
+}
+
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/tests/node/large_request_test.cpp
@@ -0,0 +1,232 @@
+/// @file
+/// Requests that are too large to be buffered, and peers that are slow with them.
+#include <gtest/gtest.h>
+
+#include <atomic>
+#include <mutex>
+#include <optional>
+#include <thread>
+#include <vector>
+
+#include "large_body.h"
+#include "node_harness.h"
+
+namespace nettleyoke::node {
+namespace {
+
+// A server that reads complete requests of any size and framing, and records their bodies.
+class BodyServer {
+ public:
+  BodyServer() : listener_([this](Connection& connection) { serve(connection); }) {}
+  std::vector<std::string> bodies() {
+    const std::lock_guard lock(mutex_);
+    return bodies_;
+  }
+  Listener& listener() { return listener_; }
+
+ private:
+  void serve(Connection& connection) {
+    std::string received;
+    for (std::string piece = connection.read_some(); !piece.empty(); piece = connection.read_some()) {
+      received += piece;
+      const std::optional<std::string> body = complete_body_of(received);
+      if (!body) continue;
+      record(*body);
+      received.clear();
+      connection.write(http_response(200, "ok"));
+    }
+  }
+
+  // The body of a request; nothing as long as the request is not complete.
+  static std::optional<std::string> complete_body_of(const std::string& request) {
+    const std::size_t head_end = request.find("\r\n\r\n");
+    if (head_end == std::string::npos) return std::nullopt;
+    const std::string head = request.substr(0, head_end + 2);
+    if (field_of(head, "Transfer-Encoding") == "chunked") {
+      if (!request.ends_with("0\r\n\r\n")) return std::nullopt;
+      return dechunked(body_of(request)).value_or("broken");
+    }
+    if (request.size() < head_end + 4 + std::stoul(field_of(head, "Content-Length"))) return std::nullopt;
+    return body_of(request);
+  }
+
+  void record(const std::string& body) {
+    const std::lock_guard lock(mutex_);
+    bodies_.push_back(body);
+  }
+
+  std::mutex mutex_;
+  std::vector<std::string> bodies_;
+  Listener listener_;
+};
+
+// A node in front of a server that is no FakeServer.
+std::unique_ptr<NodeProcess> node_in_front_of(const Listener& server) {
+  return std::make_unique<NodeProcess>(config_knowing(server.address()).text());
+}
+
+TEST(LargeRequest, BothFramingsArriveUnchanged) {
+  BodyServer server;
+  const auto node = node_in_front_of(server.listener());
+  Connection client = Connection::to(node->port());
+  int count = 0;
+  for (const std::size_t size :
+       {std::size_t{65536}, std::size_t{65537}, kMebibyte, kMebibyte + 1, 8 * kMebibyte}) {
+    const std::string body = large_body(size);
+    EXPECT_EQ(status_of(exchange(client, {.id = "l" + std::to_string(++count), .body = body})), 200) << size;
+    client.write(RequestBuilder{.id = "c" + std::to_string(count),
+                                .body = "",
+                                .fields = "Transfer-Encoding: chunked\r\n"}
+                     .text() +
+                 chunked(body, 50000, ";x=y") + "X-Trailer: t\r\n\r\n");
+    EXPECT_EQ(status_of(client.read_message()), 200) << size;
+    const auto bodies = server.bodies();
+    ASSERT_EQ(bodies.size(), static_cast<std::size_t>(2 * count));
+    EXPECT_EQ(bodies[bodies.size() - 2], body);
+    EXPECT_EQ(bodies.back(), body);
+  }
+}
+
+TEST(LargeRequest, SlowBodyAfterContinueIsServed) {
+  BodyServer server;
+  const auto node = node_in_front_of(server.listener());
+  const std::string body = large_body(200000);
+  const std::string all = RequestBuilder{.body = body, .fields = "Expect: 100-continue\r\n"}.text();
+  const std::size_t head = all.size() - body.size();
+  Connection client = Connection::to(node->port());
+  client.write(all.substr(0, head));
+  EXPECT_EQ(status_of(client.read_message()), 100);
+  for (std::size_t at = head; at < all.size(); at += 12800) {  // 64 kB a second, 3 s in total
+    client.write(all.substr(at, 12800));
+    std::this_thread::sleep_for(200ms);
+  }
+  EXPECT_EQ(status_of(client.read_message()), 200);
+  ASSERT_EQ(server.bodies().size(), 1U);
+  EXPECT_EQ(server.bodies()[0], body);
+}
+
+TEST(LargeRequest, StalledBodyTimesOutAndIsNeverForwarded) {
+  BodyServer server;
+  const auto node = node_in_front_of(server.listener());
+  const std::string all = RequestBuilder{.body = large_body(400000)}.text();
+  Connection client = Connection::to(node->port());
+  client.write(all.substr(0, 200000));
+  EXPECT_EQ(status_of(client.read_message()), 408);
+  EXPECT_EQ(server.listener().accepted(), 0);
+}
+
+// There must be no second attempt with half a body, and no client that waits for what can't come.
+TEST(LargeRequest, ResetMidwayIsAnsweredAtOnceWithoutRetry) {
+  Listener server([](Connection& connection) {
+    std::size_t received = 0;
+    for (std::size_t size = 1; size > 0 && received < 3 * kMebibyte / 2; received += size) {
+      size = connection.read_some().size();
+    }
+    connection.reset();
+  });
+  const auto node = node_in_front_of(server);
+  const std::string body = large_body(8 * kMebibyte);
+  Connection client = Connection::to(node->port());
+  const std::string all = RequestBuilder{.body = body}.text();
+  client.write(all.substr(0, 2 * kMebibyte));
+  EXPECT_EQ(status_of(client.read_message()), 503) << "its last byte was never written: it can't have run";
+  EXPECT_EQ(server.accepted(), 1);
+}
+
+// The server resets while the client pauses, so that nothing is being written to it.
+TEST(LargeRequest, ResetWhileTheClientPausesIsAnsweredAtOnce) {
+  std::atomic<int> received = 0;
+  Gate gate;
+  Listener server([&](Connection& connection) {
+    for (std::string piece = connection.read_some(); !piece.empty(); piece = connection.read_some()) {
+      received += static_cast<int>(piece.size());
+      if (received > static_cast<int>(2 * kMebibyte)) break;
+    }
+    gate.wait();
+    connection.reset();
+  });
+  const auto node = node_in_front_of(server);
+  const std::string all = RequestBuilder{.body = large_body(8 * kMebibyte)}.text();
+  Connection client = Connection::to(node->port());
+  client.write(all.substr(0, 2 * kMebibyte + 4000));
+  ASSERT_TRUE(eventually([&] { return received > static_cast<int>(2 * kMebibyte); }));
+  gate.open();
+  EXPECT_EQ(status_of(client.read_message()), 503);
+}
+
+TEST(LargeRequest, DisconnectMidwayClosesTheServerConnection) {
+  BodyServer server;
+  const auto node = node_in_front_of(server.listener());
+  Connection client = Connection::to(node->port());
+  client.write(RequestBuilder{.body = large_body(8 * kMebibyte)}.text().substr(0, 3 * kMebibyte));
+  ASSERT_TRUE(eventually([&] { return server.listener().open_connections() == 1; }));
+  client.close();
+  EXPECT_TRUE(eventually([&] { return server.listener().open_connections() == 0; }));
+  EXPECT_TRUE(server.bodies().empty());
+}
+
+TEST(LargeRequest, BufferedBodyIsRetried) {
+  std::atomic<int> calls = 0;
+  OneServerDeployment deployment([&](Connection& connection, const std::string&) {
+    return ++calls == 1 ? connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"))
+                        : connection.write(http_response(200, "ok"));
+  });
+  const std::string body = large_body(300000);
+  Connection client = deployment.client();
+  EXPECT_EQ(status_of(exchange(client, {.body = body})), 200);
+  ASSERT_EQ(deployment.server.requests().size(), 2U);
+  EXPECT_EQ(body_of(deployment.server.requests()[0]), body);
+  EXPECT_EQ(body_of(deployment.server.requests()[1]), body);
+}
+
+// Many large bodies at once in little memory: what does not fit is rejected or streamed, and all get an
+// answer.
+TEST(LargeRequest, ManyInLittleMemoryAreAllServed) {
+  BodyServer server;
+  NodeConfig config = config_knowing(server.listener().address());
+  config.memory_mb = 32;
+  const NodeProcess node(config.text());
+  const std::string body = large_body(4 * kMebibyte);
+  std::vector<std::thread> clients;
+  std::atomic<int> served = 0;
+  for (int i = 0; i < 8; ++i) {
+    clients.emplace_back([&, i] {
+      Connection client = Connection::to(node.port());
+      client.write(RequestBuilder{.id = "m" + std::to_string(i), .body = body}.text());
+      served += status_of(client.read_message()) == 200;
+    });
+  }
+  for (std::thread& client : clients) client.join();
+  EXPECT_EQ(served, 8);
+  for (const std::string& received : server.bodies()) EXPECT_TRUE(received == body);
+}
+
+// Bodies must not add up, over all connections, to more than the memory.
+TEST(MemoryLimit, BodiesBeyondItAreRejectedWithRetryAfter) {
+  OneServerDeployment deployment(always_reply(200, "ok"),
+                                 {.memory_mb = 8});  // 2.7 MB of it for messages: 40 bodies
+  constexpr int kClients = 80;
+  {
+    std::vector<Connection> clients;
+    for (int i = 0; i < kClients; ++i) {
+      clients.push_back(deployment.client());
+      clients.back().write("POST /close/k HTTP/1.1\r\nHost: a\r\nContent-Length: 65000\r\n\r\n" +
+                           std::string(60000, 'x'));
+    }
+    int rejected = 0;
+    int timed_out = 0;
+    for (Connection& client : clients) {
+      const std::string answer = client.read_message();
+      if (!answer.empty() && status_of(answer) == 503 && !field_of(answer, "Retry-After").empty()) ++rejected;
+      if (!answer.empty() && status_of(answer) == 408) ++timed_out;
+    }
+    EXPECT_GE(rejected, kClients / 4);
+    EXPECT_GT(timed_out, 0) << "what there was memory for was read";
+  }
+  Connection after = deployment.client();
+  EXPECT_EQ(status_of(exchange(after, {.body = std::string(60000, 'x')})), 200)
+      << "the memory has been released";
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
--- /dev/null
+++ b/tests/node/misbehaving_server_test.cpp
@@ -0,0 +1,124 @@
+/// @file
+/// Servers whose responses break the protocol, and servers that are replaced at one address.
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "harness/full_listener.h"
+#include "node_harness.h"
+
+namespace nettleyoke::node {
+namespace {
+
+TEST(MisbehavingServer, ContradictoryLengthsFailTheAttempt) {
+  std::mutex mutex;
+  std::string next;
+  OneServerDeployment deployment([&](Connection& connection, const std::string&) {
+    const std::lock_guard lock(mutex);
+    return connection.write("HTTP/1.1 200 OK\r\n" + next);
+  });
+  int count = 0;
+  for (const std::string rest :
+       {"Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "Content-Length: -2\r\n\r\nab",
+        "Content-Length: two\r\n\r\nab",
+        "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
+        "Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n", "Content-Length: 3000000000\r\n\r\nab"}) {
+    {
+      const std::lock_guard lock(mutex);
+      next = rest;
+    }
+    Connection client = deployment.client();
+    const int status = status_of(exchange(client, {.id = "l" + std::to_string(++count)}));
+    EXPECT_TRUE(status == 502 || status == 503) << rest << status;
+  }
+}
+
+// A line of a body that never ends must not be read for as long as it comes.
+TEST(MisbehavingServer, EndlessChunkHeadFailsTheAttempt) {
+  OneServerDeployment deployment([](Connection& connection, const std::string&) {
+    connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;");
+    while (connection.write(std::string(64 * 1024, 'x'))) {
+    }
+    return false;
+  });
+  const auto start = std::chrono::steady_clock::now();
+  Connection client = deployment.client();
+  EXPECT_EQ(status_of(exchange(client, {})), 502);
+  EXPECT_LT(seconds_since(start), 10) << "the client waits 15 s";
+}
+
+// A freed connection must not be handed to an attempt that waits for one, with a duplicate of the last
+// response still in it: that attempt would be answered by it. The first response is just what one read takes
+// in.
+TEST(MisbehavingServer, DuplicateResponseDoesNotAnswerTheNextAttempt) {
+  FullListener server;
+  FakeDiscovery discovery;
+  NodeConfig config = config_knowing(server.address(), discovery.address());
+  config.bounds = bounds_with_slow_connects();
+  NodeProcess program(config.text());
+  Connection one = Connection::to(program.port());
+  Connection two = Connection::to(program.port());
+  one.write(RequestBuilder{.id = "one"}.text());
+  Connection first(server.accept());
+  ASSERT_EQ(read_request_id(first), "one");
+  server.fill_queue();
+  two.write(RequestBuilder{.id = "two"}.text());
+  ASSERT_TRUE(server.eventually_has_pending_connects(1));
+  std::string answer = http_response(200, "one", "X-Fill: \r\n");
+  answer.insert(answer.find("\r\n\r\n"), std::string(512 - answer.size(), 'x'));
+  first.write(answer + answer);
+  EXPECT_EQ(body_of(one.read_message()), "one");
+  Connection second(server.accept());
+  EXPECT_EQ(read_request_id(second), "two");
+  second.write(http_response(200, "two"));
+  EXPECT_EQ(body_of(two.read_message()), "two");
+}
+
+TEST(MisbehavingServer, UnsolicitedResponseDoesNotStopTheNode) {
+  std::atomic<int> requests = 0;
+  Listener server([&](Connection& connection) {
+    connection.write(http_response(200, "unasked"));
+    if (!connection.read_message().empty()) ++requests;
+  });
+  FakeDiscovery discovery;
+  NodeProcess program(config_knowing(server.address(), discovery.address()).text());
+  for (int i = 0; i < 5; ++i) {
+    Connection client = Connection::to(program.port());
+    client.write(RequestBuilder{.id = "u" + std::to_string(i)}.text());
+    // The greeting may come just after the request: then nothing tells it from an answer.
+    const std::string answer = client.read_message();
+    EXPECT_FALSE(answer.empty());
+  }
+  EXPECT_TRUE(program.is_running());
+}
+
+// A connect to a server that was removed must not bring what waits for it to the one that is at its address
+// now.
+TEST(ServerReplacement, NewServerAtARemovedAddressGetsTheRequestOnce) {
+  FullListener server;
+  FakeDiscovery discovery;
+  NodeConfig config = config_knowing(server.address(), discovery.address());
+  config.bounds = bounds_with_slow_connects();
+  NodeProcess program(config.text());
+  server.fill_queue();
+  Connection client = Connection::to(program.port());
+  client.write(RequestBuilder{}.text());
+  ASSERT_TRUE(server.eventually_has_pending_connects(1));
+  discovery.send_list(endpoint_list(
+      8, false, endpoint("s0", server.address(), "removed") + "," + endpoint("s1", server.address())));
+  // What waited ends as not sent, and goes to the new one by a connect of its own.
+  ASSERT_TRUE(server.eventually_has_pending_connects(2));
+  std::vector<Connection> connections;
+  for (int i = 0; i < 2; ++i) connections.emplace_back(server.accept());
+  int requests = 0;
+  for (Connection& connection : connections) {
+    if (connection.read_message().empty()) continue;  // closed unused
+    ++requests;
+    connection.write(http_response(200, "new"));
+  }
+  EXPECT_EQ(requests, 1);
+  EXPECT_EQ(body_of(client.read_message()), "new");
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -1,225 +1,198 @@
-// SIGHUP: the file is read again, and discovery followed to its new address.
+/// @file
+/// SIGHUP: the configuration is read again, and discovery followed to its new address.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
 #include "node_harness.h"
 
 namespace nettleyoke::node {
 namespace {
 
-std::string watch_head() { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; }
-
-bool serves(const Deployment& d, const std::string& body) {
-  static std::atomic<int> n = 0;
-  return eventually([&] {
-    Wire client = d.client();
-    client.write(Ask{.id = "reload" + std::to_string(++n)}.text());
-    return body_of(client.read_message()) == body;
-  });
-}
-
-// Guards against a node that ends on SIGHUP, stays with the old address, or trusts the old one's versions.
-TEST(Reload, FollowsDiscoveryAndAsksForTheWholeList) {
-  FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
-  Deployment d({&old_server});
-  ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
-  FakeDiscovery moved;
-  moved.answer_with(watch_head() + chunk(list(3, true, member("n0", new_server.address())) + "\n"));
-  ConfigText config = d.told;
-  config.discovery = moved.address();
-  d.program->reload(config.text());
-  ASSERT_TRUE(serves(d, "new"));
-  ASSERT_FALSE(moved.calls().empty());
-  EXPECT_EQ(moved.calls()[0].find("after="), std::string::npos) << moved.calls()[0];
-  EXPECT_TRUE(eventually([&] { return d.discovery.listener().open() == 0; })) << "the old watch is closed";
-  EXPECT_EQ(d.discovery.calls().size(), 1U);
+// The node must not end on SIGHUP, stay with the old address, or trust the list versions of the old one.
+TEST(Reload, NewDiscoveryAddressIsAskedForACompleteList) {
+  FakeServer old_server(always_reply(200, "old"));
+  FakeServer new_server(always_reply(200, "new"));
+  Deployment deployment({&old_server});
+  ASSERT_TRUE(eventually([&] { return deployment.discovery.calls().size() == 1; }));
+  FakeDiscovery new_discovery;
+  new_discovery.respond_with(watch_response(endpoint_list(3, true, endpoint("n0", new_server.address()))));
+  NodeConfig config = deployment.config;
+  config.discovery = new_discovery.address();
+  deployment.program->reload(config.text());
+  ASSERT_TRUE(deployment.eventually_answers("new"));
+  ASSERT_FALSE(new_discovery.calls().empty());
+  EXPECT_EQ(new_discovery.calls()[0].find("after="), std::string::npos) << new_discovery.calls()[0];
+  EXPECT_TRUE(eventually([&] { return deployment.discovery.listener().open_connections() == 0; }))
+      << "the old watch is closed";
+  EXPECT_EQ(deployment.discovery.calls().size(), 1U);
 }
 
-TEST(Reload, ABadFileIsOneLineAndChangesNothing) {
-  FakeServer server(replies(200, "ok"));
-  Deployment d({&server});
-  ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
-  const std::vector<std::string> bad = {"{\"name\":", "", "{}", ConfigText{.discovery = "nowhere"}.text()};
-  for (std::size_t i = 0; i < bad.size(); ++i) {
-    d.program->reload(bad[i]);
-    ASSERT_TRUE(eventually([&] { return d.program->logged("reload: ") == static_cast<int>(i + 1); }))
-        << d.program->log();
+TEST(Reload, InvalidFileIsLoggedOnOneLineAndIgnored) {
+  OneServerDeployment deployment;
+  ASSERT_TRUE(eventually([&] { return deployment.discovery.calls().size() == 1; }));
+  const std::vector<std::string> invalid = {"{\"name\":", "", "{}",
+                                            NodeConfig{.discovery = "nowhere"}.text()};
+  for (std::size_t i = 0; i < invalid.size(); ++i) {
+    deployment.program->reload(invalid[i]);
+    ASSERT_TRUE(eventually([&] {
+      return deployment.program->count_in_log("reload: ") == static_cast<int>(i + 1);
+    })) << deployment.program->log();
   }
-  EXPECT_TRUE(serves(d, "ok"));
-  // The watch goes on: what it tells is still heard.
-  d.discovery.say(list(8, false, member("s0", server.address(), "draining")));
-  EXPECT_TRUE(eventually([&] {
-    Wire client = d.client();
-    client.write(Ask{.id = "drained"}.text());
-    return status_of(client.read_message()) == 503;
-  }));
+  EXPECT_TRUE(deployment.eventually_answers("ok"));
+  // The watch goes on: its events still arrive.
+  deployment.discovery.send_list(
+      endpoint_list(8, false, endpoint("s0", deployment.server.address(), "draining")));
+  EXPECT_TRUE(deployment.eventually_answers_with_status(503));
 }
 
-TEST(Reload, RepeatsLeaveOneWatchAtTheLastAddress) {
-  FakeServer server(replies(200, "ok"));
-  Deployment d({&server});
-  FakeDiscovery one, two;
+TEST(Reload, RepeatedReloadsLeaveOneWatchAtTheLastAddress) {
+  OneServerDeployment deployment;
+  FakeDiscovery one;
+  FakeDiscovery two;
   for (int i = 0; i < 20; ++i) {
-    ConfigText config = d.told;
+    NodeConfig config = deployment.config;
     config.discovery = (i % 2 == 0 ? one : two).address();
-    d.program->reload(config.text());
-    ASSERT_TRUE(d.program->running());
+    deployment.program->reload(config.text());
+    ASSERT_TRUE(deployment.program->is_running());
   }
   EXPECT_TRUE(eventually([&] {
-    return one.listener().open() == 0 && d.discovery.listener().open() == 0 && two.listener().open() == 1;
+    return one.listener().open_connections() == 0 &&
+           deployment.discovery.listener().open_connections() == 0 && two.listener().open_connections() == 1;
   }));
-  EXPECT_TRUE(serves(d, "ok"));
+  EXPECT_TRUE(deployment.eventually_answers("ok"));
 }
 
-// Guards against waiting out the pause that has grown with the failures at the old address.
-TEST(Reload, AFirstDialThatFailsIsTriedAgain) {
-  FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
-  Deployment d({&old_server});
-  int port = 0;
-  {
-    FakeDiscovery gone;
-    port = gone.listener().port();
-  }
-  ConfigText config = d.told;
+// The backoff that has grown with the failures at the old address must not be waited out.
+TEST(Reload, RefusedConnectToTheNewAddressIsRetried) {
+  FakeServer old_server(always_reply(200, "old"));
+  FakeServer new_server(always_reply(200, "new"));
+  Deployment deployment({&old_server});
+  const int port = unused_port();
+  NodeConfig config = deployment.config;
   config.discovery = "127.0.0.1:" + std::to_string(port);
-  d.program->reload(config.text());
-  ASSERT_TRUE(eventually([&] { return d.program->logged("reload: ") == 1; }));
-  FakeDiscovery moved(port);
-  moved.answer_with(watch_head() + chunk(list(3, true, member("n0", new_server.address())) + "\n"));
-  EXPECT_TRUE(serves(d, "new"));
+  deployment.program->reload(config.text());
+  ASSERT_TRUE(eventually([&] { return deployment.program->count_in_log("reload: ") == 1; }));
+  FakeDiscovery new_discovery(port);
+  new_discovery.respond_with(watch_response(endpoint_list(3, true, endpoint("n0", new_server.address()))));
+  EXPECT_TRUE(deployment.eventually_answers("new"));
 }
 
-TEST(Reload, WhileDrainingItIsNoEnd) {
+TEST(Reload, WhileDrainingDoesNotEndTheProcess) {
   Gate gate;
-  FakeServer server([&](Wire& wire, const std::string&) {
-    gate.wait();
-    return wire.write(http_answer(200, "ok"));
-  });
-  Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{}.text());
-  ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
-  d.program->signal(SIGTERM);
-  FakeDiscovery moved;
-  ConfigText config = d.told;
-  config.discovery = moved.address();
-  d.program->reload(config.text());
-  EXPECT_TRUE(eventually([&] { return moved.calls().size() == 1; }));
+  OneServerDeployment deployment(reply_after(gate));
+  Connection client = deployment.client();
+  client.write(RequestBuilder{}.text());
+  ASSERT_TRUE(deployment.server.eventually_received(1));
+  deployment.program->signal(SIGTERM);
+  FakeDiscovery new_discovery;
+  NodeConfig config = deployment.config;
+  config.discovery = new_discovery.address();
+  deployment.program->reload(config.text());
+  EXPECT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }));
   gate.open();
   EXPECT_EQ(status_of(client.read_message()), 200);
-  EXPECT_EQ(d.program->exit_status(), 0);
+  EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// ---------------------------------------------------------------- settings that change
-
-const std::string kLook = R"({"name":"look","aim":5.0,"giveUp":15.0,"effect":"safe","lateWorth":0.5})";
-const std::string kTouch =
-    R"({"name":"touch","aim":5.0,"giveUp":15.0,"effect":"keyed","group":"all","dedupWindow":15.0,"lateWorth":0.5})";
-
-void reload_as(Deployment& d, const ConfigText& config) {
-  const int before = d.program->logged("reload: ");
-  d.program->reload(config.text());
-  ASSERT_TRUE(eventually([&] { return d.program->logged("reload: ") == before + 1; })) << d.program->log();
-}
-
-int status_for(const Deployment& d, const Ask& ask) {
-  Wire client = d.client();
-  client.write(ask.text());
-  return status_of(client.read_message());
-}
-
-TEST(Settings, ANewClassIsServedUnderItsRulesAndADroppedOneEndsAfterAWhile) {
-  FakeServer server(replies(200, "ok"));
-  Deployment d({&server});
-  const Ask touch{.kind = "touch", .id = "t1", .key = "k"};
-  EXPECT_EQ(status_for(d, touch), 400);
-  ConfigText config = d.told;
-  config.classes = kLook + "," + kTouch;
-  reload_as(d, config);
-  EXPECT_EQ(status_for(d, touch), 200);
-  EXPECT_EQ(status_for(d, {.kind = "touch", .id = "t2"}), 400) << "no key";
-  EXPECT_EQ(status_for(d, {.kind = "look", .id = "l1", .method = "GET", .body = ""}), 200);
-  int n = 0;
-  EXPECT_TRUE(eventually([&] { return status_for(d, {.id = "old" + std::to_string(++n)}) == 400; }))
-      << "a class that is no longer there";
+TEST(SettingsReload, AddedClassIsServedAndDroppedOneExpires) {
+  OneServerDeployment deployment;
+  const RequestBuilder touch{.request_class = "touch", .id = "t1", .idempotency_key = "k"};
+  EXPECT_EQ(deployment.status_for(touch), 400);
+  NodeConfig config = deployment.config;
+  config.classes =
+      class_json("look", "safe") + "," + class_json("touch", "keyed", R"(,"group":"all","dedupWindow":15.0)");
+  deployment.reload(config);
+  EXPECT_EQ(deployment.status_for(touch), 200);
+  EXPECT_EQ(deployment.status_for({.request_class = "touch", .id = "t2"}), 400) << "no key";
+  EXPECT_EQ(deployment.status_for(get_request("l1")), 200);
+  int count = 0;
+  EXPECT_TRUE(eventually([&] {
+    return deployment.status_for({.id = "old" + std::to_string(++count)}) == 400;
+  })) << "a class that is no longer there";
 }
 
-// Guards against callers that are turned down because they have not heard of the change yet.
-TEST(Settings, ForAWhileCallersMayAskAsTheSettingsBeforeHadIt) {
-  FakeServer server(replies(200, "ok"));
-  Deployment d({&server});
-  ConfigText config = d.told;
-  config.classes = R"({"name":"close","aim":5.0,"giveUp":15.0,"effect":"safe","lateWorth":0.5})";
-  Wire client = d.client(), other = d.client();
-  d.program->reload(config.text());
-  ASSERT_TRUE(eventually([&] { return d.program->logged("reload: ") == 1; }));
-  client.write(Ask{}.text());
-  other.write(Ask{.id = "r2", .method = "GET", .body = ""}.text());
-  EXPECT_EQ(status_of(client.read_message()), 200) << "unsafe, as it was";
-  EXPECT_EQ(status_of(other.read_message()), 200) << "safe, as it is";
+// Clients that have not heard of the change yet must not be rejected.
+TEST(SettingsReload, RequestsValidUnderThePreviousSettingsAreServedForAWhile) {
+  OneServerDeployment deployment;
+  NodeConfig config = deployment.config;
+  config.classes = class_json("close", "safe");
+  Connection client = deployment.client();
+  Connection other = deployment.client();
+  deployment.program->reload(config.text());
+  ASSERT_TRUE(eventually([&] { return deployment.program->count_in_log("reload: ") == 1; }));
+  client.write(RequestBuilder{}.text());
+  other.write(RequestBuilder{.id = "r2", .method = "GET", .body = ""}.text());
+  EXPECT_EQ(status_of(client.read_message()), 200) << "non-idempotent, as before";
+  EXPECT_EQ(status_of(other.read_message()), 200) << "idempotent, as now";
 }
 
-TEST(Settings, AnOpenRequestKeepsItsAttempts) {
+TEST(SettingsReload, RequestInFlightKeepsItsAttemptLimit) {
   Gate gate;
-  FakeServer server([&](Wire& wire, const std::string&) {
-    gate.wait();
-    return wire.write(http_answer(503, "", "X-Not-Processed: 1\r\n"));
-  });
-  Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{}.text());
-  ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
-  ConfigText config = d.told;
+  OneServerDeployment deployment(reply_after(gate, 503, "", "X-Not-Processed: 1\r\n"));
+  Connection client = deployment.client();
+  client.write(RequestBuilder{}.text());
+  ASSERT_TRUE(deployment.server.eventually_received(1));
+  NodeConfig config = deployment.config;
   config.bounds.replace(config.bounds.find("\"maxAttempts\":3"), 15, "\"maxAttempts\":1");
-  reload_as(d, config);
+  deployment.reload(config);
   gate.open();
   EXPECT_EQ(status_of(client.read_message()), 503);
-  EXPECT_EQ(server.requests().size(), 3U);
-  EXPECT_EQ(status_for(d, {.id = "after"}), 503);
-  EXPECT_EQ(server.requests().size(), 4U) << "the next one has a single attempt";
+  EXPECT_EQ(deployment.server.requests().size(), 3U);
+  EXPECT_EQ(deployment.status_for({.id = "after"}), 503);
+  EXPECT_EQ(deployment.server.requests().size(), 4U) << "the next one has a single attempt";
 }
 
-TEST(Settings, NothingIsTakenFromABrokenFile) {
-  FakeServer server(replies(200, "ok"));
+struct InvalidFile {
+  std::string text;
+  std::string named_in_log;
+};
+
+TEST(SettingsReload, InvalidFileChangesNothing) {
+  FakeServer server(always_reply(200, "ok"));
   FakeDiscovery elsewhere;
-  Deployment d({&server});
-  ConfigText config = d.told;
-  config.classes = kLook;
+  Deployment deployment({&server});
+  NodeConfig config = deployment.config;
+  config.classes = class_json("look", "safe");
   config.discovery = elsewhere.address();
   const std::string good = config.text();
-  const auto with = [&](const std::string& what, const std::string& instead) {
-    std::string out = good;
-    EXPECT_NE(out.find(what), std::string::npos) << what;
-    return out.replace(out.find(what), what.size(), instead);
+  const auto replaced = [&](const std::string& what, const std::string& instead) {
+    std::string text = good;
+    EXPECT_NE(text.find(what), std::string::npos) << what;
+    return text.replace(text.find(what), what.size(), instead);
   };
-  const std::vector<std::pair<std::string, std::string>> bad = {
+  const std::vector<InvalidFile> invalid = {
       {"", "JSON"},
       {good.substr(0, good.size() / 2), "JSON"},
-      {with("\"maxAttempts\":3,", ""), "maxAttempts"},
-      {with("\"maxAttempts\":3", "\"maxAttempts\":0"), "max_attempts"},
-      {with("\"maxAttempts\":3", "\"maxAttempts\":-2"), "max_attempts"},
-      {with("\"maxAttempts\":3", "\"maxAttempts\":\"3\""), "maxAttempts"},
-      {with("\"giveUp\":15.0,", ""), "giveUp"},
-      {with("\"giveUp\":15.0", "\"giveUp\":0"), "client_timeout"},
-      {with("\"giveUp\":15.0", "\"giveUp\":-1"), "client_timeout"},
-      {with("\"giveUp\":15.0", "\"giveUp\":null"), "giveUp"},
-      {with("\"giveUp\":15.0", "\"giveUp\":true"), "giveUp"},
-      {with("\"lateWorth\":0.5", "\"extra\":0.5"), "lateWorth"},
-      {with("\"peersTotal\":1,", ""), "peersTotal"},
-      {with(",\"rules\":{\"askWithin\":10.0}", ""), "rules"},
-      {with("\"seed\":\"8c1f30d27a5be964\",", ""), "seed"},
+      {replaced("\"maxAttempts\":3,", ""), "maxAttempts"},
+      {replaced("\"maxAttempts\":3", "\"maxAttempts\":0"), "max_attempts"},
+      {replaced("\"maxAttempts\":3", "\"maxAttempts\":-2"), "max_attempts"},
+      {replaced("\"maxAttempts\":3", "\"maxAttempts\":\"3\""), "maxAttempts"},
+      {replaced("\"giveUp\":15.0,", ""), "giveUp"},
+      {replaced("\"giveUp\":15.0", "\"giveUp\":0"), "client_timeout"},
+      {replaced("\"giveUp\":15.0", "\"giveUp\":-1"), "client_timeout"},
+      {replaced("\"giveUp\":15.0", "\"giveUp\":null"), "giveUp"},
+      {replaced("\"giveUp\":15.0", "\"giveUp\":true"), "giveUp"},
+      {replaced("\"lateWorth\":0.5", "\"extra\":0.5"), "lateWorth"},
+      {replaced("\"peersTotal\":1,", ""), "peersTotal"},
+      {replaced(",\"rules\":{\"askWithin\":10.0}", ""), "rules"},
+      {replaced("\"seed\":\"8c1f30d27a5be964\",", ""), "seed"},
   };
-  for (std::size_t i = 0; i < bad.size(); ++i) {
-    d.program->reload(bad[i].first);
+  for (std::size_t i = 0; i < invalid.size(); ++i) {
+    deployment.program->reload(invalid[i].text);
     ASSERT_TRUE(eventually([&] {
-      return d.program->logged("all stays as it was") == static_cast<int>(i + 1);
-    })) << bad[i].second
-        << d.program->log();
-    const std::string log = d.program->log();
-    EXPECT_NE(log.substr(log.rfind("reload: ")).find(bad[i].second), std::string::npos) << log;
+      return deployment.program->count_in_log("all stays as it was") == static_cast<int>(i + 1);
+    })) << invalid[i].named_in_log
+        << deployment.program->log();
+    const std::string log = deployment.program->log();
+    EXPECT_NE(log.substr(log.rfind("reload: ")).find(invalid[i].named_in_log), std::string::npos) << log;
   }
   EXPECT_EQ(elsewhere.calls().size(), 0U);
-  std::this_thread::sleep_for(2500ms);  // past the time in which the settings before would do
-  EXPECT_EQ(status_for(d, {}), 200) << "the classes are those of the start";
-  reload_as(d, config);
-  EXPECT_TRUE(eventually([&] { return elsewhere.calls().size() == 1; })) << "the whole file is taken";
+  std::this_thread::sleep_for(2500ms);  // past the time in which the previous settings are valid too
+  EXPECT_EQ(deployment.status_for({}), 200) << "the classes are those of the start";
+  deployment.reload(config);
+  EXPECT_TRUE(eventually([&] { return elsewhere.calls().size() == 1; })) << "the complete file is applied";
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/node/takeover_test.cpp
@@ -0,0 +1,119 @@
+/// @file
+/// A second process that takes over from the first, on one listening socket and with one set of disabled
+/// servers.
+#include <fcntl.h>
+#include <gtest/gtest.h>
+
+#include <atomic>
+#include <filesystem>
+#include <fstream>
+
+#include "admin_harness.h"
+#include "node_harness.h"
+
+namespace nettleyoke::node {
+namespace {
+
+// The clients' listening socket, held by the test as the platform holds it.
+struct Platform {
+  Platform() : listener(new_tcp_socket()) {
+    static std::atomic<int> count = 0;
+    directory = testing::TempDir() + "/shared_" + std::to_string(getpid()) + "_" + std::to_string(++count);
+    std::filesystem::create_directory(directory);
+    EXPECT_GT(listen_on_loopback(listener, 0, 128), 0);
+  }
+  ~Platform() { std::filesystem::remove_all(directory); }
+  Platform(const Platform&) = delete;
+  Platform& operator=(const Platform&) = delete;
+  StartOptions start_options() const {
+    return {.environment = {{"TMPDIR", directory},
+                            {"RELAY_LISTEN_FD", std::to_string(NodeProcess::kInheritedListenerFd)}},
+            .inherited_listener = listener.get()};
+  }
+  // An older build and a newer one share this file, so that its name stays.
+  std::string disabled_servers_path() const { return directory + "/thymewood-disabled.json"; }
+  FileDescriptor listener;
+  std::string directory;
+};
+
+TEST(Takeover, SecondProcessTakesOverWithoutLosingRequests) {
+  Gate gate;
+  FakeServer server([&](Connection& connection, const std::string& request) {
+    if (request.find("slow") != std::string::npos) gate.wait();
+    return connection.write(http_response(200, "ok"));
+  });
+  const Platform platform;
+  Deployment old({&server}, with_admin_server(), platform.start_options());
+  Connection busy = old.client();
+  Connection idle = old.client();
+  busy.write(RequestBuilder{.id = "slow"}.text());
+  EXPECT_EQ(status_of(exchange(idle, {.id = "first"})), 200);
+  ASSERT_TRUE(server.eventually_received(2));
+
+  NodeProcess next(old.config.text(), platform.start_options());
+  EXPECT_EQ(next.port(), old.program->port());
+  EXPECT_TRUE(eventually([&] { return next.admin_command("READY") == "YES\n"; }));
+  old.program->signal(SIGTERM);
+  EXPECT_TRUE(eventually([&] { return old.program->admin_command("READY").substr(0, 3) == "NO "; }));
+  // An open connection is served once more and closed with the response; new ones go to the next process.
+  const std::string last = exchange(idle, {.id = "second"});
+  EXPECT_EQ(status_of(last), 200);
+  EXPECT_EQ(field_of(last, "Connection"), "close");
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(status_of(old.answer_to({.id = "new" + std::to_string(i)})), 200);
+  EXPECT_GE(count_by_class(next, "success", "close"), 20);
+  gate.open();
+  EXPECT_EQ(status_of(busy.read_message()), 200);
+  EXPECT_EQ(old.program->exit_status(), 0);
+  EXPECT_EQ(status_of(old.answer_to({.id = "after"})), 200) << "the socket outlives the old process";
+}
+
+TEST(Takeover, DisabledServersAreSharedAndOutliveTheOldProcess) {
+  FakeServer one(always_reply(200, "one"));
+  FakeServer two(always_reply(200, "two"));
+  const Platform platform;
+  Deployment old({&one, &two}, with_admin_server(), platform.start_options());
+  EXPECT_EQ(old.program->admin_command("DISABLE s0"), "YES\n");
+  const NodeProcess next(old.config.text(), platform.start_options());
+  EXPECT_EQ(metric(next, "hosts_down"), 1) << "from the start";
+  EXPECT_EQ(next.admin_command("DISABLE s1"), "YES\n");
+  EXPECT_TRUE(eventually([&] { return metric(*old.program, "hosts_down") == 2; }));
+  EXPECT_EQ(old.program->admin_command("ENABLE s0"), "YES\n");
+  EXPECT_TRUE(eventually([&] { return metric(next, "hosts_down") == 1; }));
+  old.program->signal(SIGTERM);
+  EXPECT_EQ(old.program->exit_status(), 0);
+  EXPECT_EQ(body_of(old.answer_to({.id = "left"})), "one");
+}
+
+TEST(Takeover, MalformedSharedStateIsIgnored) {
+  FakeServer server(always_reply(200, "ok"));
+  const Platform platform;
+  for (const char* text : {"", "{", "[1]", R"({"disabled":[7]})", R"({"disabled":"s0"})"}) {
+    std::ofstream(platform.disabled_servers_path()) << text;
+    Deployment deployment({&server}, with_admin_server(), platform.start_options());
+    EXPECT_EQ(deployment.program->count_in_log("left aside"), 1) << text;
+    EXPECT_EQ(status_of(deployment.answer_to({.id = "r"})), 200);
+    EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
+  }
+}
+
+TEST(Takeover, WithoutWritableStateDisablingHoldsInTheProcess) {
+  FakeServer server(always_reply(200, "ok"));
+  Deployment deployment({&server}, with_admin_server(), {.environment = {{"TMPDIR", "/nowhere/at/all"}}});
+  EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
+  EXPECT_EQ(status_of(deployment.answer_to({.id = "r"})), 503);
+  EXPECT_EQ(deployment.program->count_in_log("cannot write"), 1);
+}
+
+TEST(Takeover, DescriptorThatIsNoListenerEndsTheStart) {
+  const FileDescriptor plain(::open("/dev/null", O_RDONLY));
+  for (const char* text : {"7", "x", "-1", "1000000"}) {
+    NodeProcess program(NodeConfig{}.text(), {.wait_for_start = false,
+                                              .environment = {{"RELAY_LISTEN_FD", text}},
+                                              .inherited_listener = plain.get()});
+    EXPECT_EQ(program.exit_status(), 2);
+    EXPECT_EQ(program.count_in_log("RELAY_LISTEN_FD"), 1) << program.log();
+  }
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
