--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -14,7 +14,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-using node::Wire;
+using Wire = node::Connection;
 
 Experiment plan() {
   Experiment out;
@@ -102,7 +102,7 @@
     if (!where) return {};
     Wire wire = Wire::to(where->port());
     wire.write(line + "\n");
-    return wire.read_rest();
+    return wire.read_to_end();
   }
   // The servers that so many calls, one after the other, went to.
   std::set<std::string> used(std::size_t which, int count) {
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -12,7 +12,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-using node::Wire;
+using Wire = node::Connection;
 
 // ---------------------------------------------------------------- the rules
 
