--- /dev/null
+++ b/tests/unit/balancer_admission_test.cpp
@@ -0,0 +1,223 @@
+/// @file
+/// Admission of tenants' requests: the suppression factor, the sliding window and the learned rate limit.
+#include <gtest/gtest.h>
+
+#include <cmath>
+#include <limits>
+
+#include "balancer_harness.h"
+
+namespace nettleyoke {
+namespace {
+
+TEST(SuppressionFactor, MatchesTheWorkedExamples) {
+  EXPECT_NEAR(suppression_factor(10, 14, 14), 0.286, 0.0005);
+  EXPECT_NEAR(suppression_factor(10, 11.67, 12), 0.167, 0.0005);
+  EXPECT_NEAR(suppression_factor(10, 13.33, 15), 0.333, 0.0005);
+}
+
+TEST(SuppressionFactor, UsesTheHigherRateAndStaysInRange) {
+  EXPECT_DOUBLE_EQ(suppression_factor(10, 20, 5), 0.5);
+  EXPECT_DOUBLE_EQ(suppression_factor(10, 5, 20), 0.5);
+  EXPECT_DOUBLE_EQ(suppression_factor(10, 5, 5), 0);
+  EXPECT_DOUBLE_EQ(suppression_factor(10, 0, 0), 0);
+  EXPECT_DOUBLE_EQ(suppression_factor(std::numeric_limits<double>::infinity(), 5, 5), 0);
+}
+
+Settings one_tenant(double quota) {
+  Settings settings = basic_settings();
+  settings.tenants = {{quota}};
+  return settings;
+}
+
+// Sends requests at a steady rate, each answered at once; returns how many were admitted.
+int offer(ReplicaUnderTest& replica, double from, double seconds, double rate, const std::string& prefix,
+          Outcome outcome = Outcome::kSucceeded) {
+  int admitted = 0;
+  const int calls = static_cast<int>(seconds * rate);
+  for (int i = 0; i < calls; ++i) {
+    replica.now = from + i / rate;
+    const std::string id = prefix + std::to_string(i);
+    if (actions_of<StartAttempt>(replica.request(id)).empty()) continue;
+    ++admitted;
+    const auto after = replica.end_attempt(id, outcome);
+    for (const StartAttempt& again : actions_of<StartAttempt>(after))
+      replica.end_attempt(again.id, Outcome::kSucceeded, 1);
+  }
+  return admitted;
+}
+
+TEST(Admission, BelowTheRateLimitAllRequestsAreAdmitted) {
+  ReplicaUnderTest replica(one_tenant(100));
+  replica.at(0, members(4));
+  EXPECT_EQ(offer(replica, 0, 10, 50, "a"), 500);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
+}
+
+TEST(Admission, AboveTheRateLimitTheExcessIsThrottled) {
+  Settings settings = one_tenant(10);
+  settings.over_quota_weight = 0;  // the rate limit stays where it starts
+  ReplicaUnderTest replica(settings);
+  replica.at(0, members(4));
+  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const int admitted = offer(replica, 0, 8, 4 * limit, "a");
+  const TenantStatistics statistics = replica.balancer.tenant(replica.now, 0);
+  EXPECT_GT(admitted, 0.8 * limit * 8);
+  EXPECT_LT(admitted, 1.6 * limit * 8);
+  EXPECT_NEAR(statistics.suppression_factor, 1 - statistics.rate_limit / (4 * limit), 0.05);
+  EXPECT_GT(statistics.declined, 0);
+}
+
+// Servers that fail at any load must not cut tenants down to a part of their quota.
+TEST(Admission, ServerErrorsAndBrokenResponsesDoNotLowerTheRateLimit) {
+  for (const Outcome outcome : {Outcome::kServerError, Outcome::kUnknown, Outcome::kReset}) {
+    ReplicaUnderTest replica(one_tenant(10));
+    replica.at(0, members(4));
+    const double limit = replica.balancer.tenant(0, 0).rate_limit;
+    offer(replica, 0, 4, 5, "a", outcome);
+    EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, limit);
+  }
+}
+
+TEST(Admission, RateLimitNeverFallsBelowTheQuota) {
+  ReplicaUnderTest replica(one_tenant(10));
+  replica.at(0, members(4));
+  offer(replica, 0, 20, 9, "a", Outcome::kRejected);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
+}
+
+// A tenant within its quota must find a server also where one far over its own holds all the capacity.
+TEST(Admission, TenantWithinItsQuotaIsAdmittedWhileAnotherHoldsAllCapacity) {
+  Settings settings = basic_settings();
+  settings.tenants = {{2.0}, {2.0}};
+  settings.over_quota_weight = 0.05;
+  ReplicaUnderTest replica(settings);
+  replica.at(0, members(6));
+  replica.now = 30;  // nothing of the capacity at the start is left
+  const auto attempts_of = [&](const std::string& prefix, std::size_t tenant, int calls) {
+    std::size_t attempts = 0;
+    for (int i = 0; i < calls; ++i)
+      attempts += actions_of<StartAttempt>(replica.request(prefix + std::to_string(i), tenant)).size();
+    return attempts;
+  };
+  EXPECT_GT(attempts_of("flood", 0, 14), 8U) << "its quota of the window, and more";
+  EXPECT_EQ(attempts_of("more", 0, 3), 0U) << "all capacity is in use";
+  EXPECT_GT(attempts_of("within", 1, 3), 0U);
+}
+
+TEST(Admission, AtTheHardLimitAllRequestsAreThrottled) {
+  ReplicaUnderTest replica(one_tenant(10));
+  replica.at(0, members(4));
+  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double flood = 400 * limit;
+  int late_admissions = 0;
+  for (int i = 0; i < static_cast<int>(flood); ++i) {
+    replica.now = i / flood;
+    const bool admitted = !actions_of<StartAttempt>(replica.request("r" + std::to_string(i))).empty();
+    if (i > flood * 0.9 && admitted) ++late_admissions;
+  }
+  EXPECT_EQ(late_admissions, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 1);
+}
+
+TEST(Admission, RequestsLeaveTheSlidingWindow) {
+  ReplicaUnderTest replica(one_tenant(10));
+  replica.at(0, members(4));
+  for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
+  EXPECT_GT(replica.balancer.tenant(0, 0).suppression_factor, 0.5);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(3.85, 0).total, 500);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).total, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).suppression_factor, 0);
+}
+
+// The factor is cached for 100 ms: a flood within that time is met with the factor from before it.
+TEST(Admission, SuppressionFactorIsCached) {
+  Settings settings = one_tenant(100);
+  settings.over_quota_weight = 0;
+  ReplicaUnderTest replica(settings);
+  replica.at(0, members(4));
+  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const int soft_limit = static_cast<int>(std::ceil(4 * limit));  // the window's seconds
+  const auto admitted_of = [&](double time, int calls, const std::string& prefix) {
+    int admitted = 0;
+    for (int i = 0; i < calls; ++i) {
+      replica.now = time;
+      const std::string id = prefix + std::to_string(i);
+      if (actions_of<StartAttempt>(replica.request(id)).empty()) continue;
+      ++admitted;
+      replica.end_attempt(id, Outcome::kSucceeded);
+    }
+    return admitted;
+  };
+  EXPECT_EQ(admitted_of(0, soft_limit, "fill"), soft_limit);
+  EXPECT_NEAR(admitted_of(0.01, 1000, "cached"), 250,
+              60);  // the factor from when the flood began: three quarters
+  const double factor = replica.balancer.tenant(0.12, 0).suppression_factor;
+  EXPECT_GT(factor, 0.85);
+  EXPECT_NEAR(admitted_of(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
+}
+
+TEST(Admission, ThrottledRequestIsRejectedWithoutAnAttempt) {
+  ReplicaUnderTest replica(one_tenant(10));
+  replica.at(0, members(4));
+  int rejected = 0;
+  for (int i = 0; i < 900; ++i) {
+    replica.now = 0.001 * i;
+    const auto actions = replica.request("r" + std::to_string(i));
+    EXPECT_EQ(actions_of<Reject>(actions).size() + actions_of<StartAttempt>(actions).size(), 1U);
+    rejected += static_cast<int>(actions_of<Reject>(actions).size());
+    if (!actions_of<StartAttempt>(actions).empty())
+      replica.end_attempt("r" + std::to_string(i), Outcome::kSucceeded);
+  }
+  EXPECT_GT(rejected, 300);
+  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, rejected);
+}
+
+TEST(RateLimit, RisesWhileRequestsSucceedInTime) {
+  ReplicaUnderTest replica(one_tenant(10));
+  replica.at(0, members(4));
+  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  offer(replica, 0, 10, before * 0.9, "a");
+  EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before * 2);
+}
+
+TEST(RateLimit, FallsWithRejectionsDownToAFloor) {
+  ReplicaUnderTest replica(one_tenant(100));
+  replica.at(0, members(4));
+  offer(replica, 0, 40, 120, "up");
+  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  ASSERT_GT(before, 130);
+  offer(replica, 40, 5, before, "a", Outcome::kRejected);
+  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  offer(replica, 45, 60, 50, "b", Outcome::kRejected);
+  EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 25) << "a quarter of the part of the quota";
+}
+
+// Requests that end within a feedback delay were sent under the old limit and say nothing of the new one.
+TEST(RateLimit, OneSecondOfRejectionsTakesAPartOfIt) {
+  ReplicaUnderTest replica(one_tenant(100));
+  replica.at(0, members(4));
+  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  offer(replica, 0, 1, before, "a", Outcome::kRejected);
+  const double after = replica.balancer.tenant(replica.now, 0).rate_limit;
+  EXPECT_LT(after, before * 0.9);
+  EXPECT_GT(after, before * 0.5);
+}
+
+// Where everything turns slow together, cutting all tenants to the same floor would leave servers idle.
+TEST(RateLimit, SlowResponsesDoNotLowerIt) {
+  ReplicaUnderTest replica(one_tenant(100));
+  replica.at(0, members(4));
+  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  for (int i = 0; i < 500; ++i) {
+    replica.now = i * 0.01;
+    const std::string id = std::to_string(i);
+    if (!actions_of<StartAttempt>(replica.request(id)).empty())
+      replica.end_attempt(id, Outcome::kSucceeded, 0, 1.8);
+  }
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+}
+
+}  // namespace
+}  // namespace nettleyoke
--- /dev/null
+++ b/tests/unit/balancer_body_test.cpp
@@ -0,0 +1,67 @@
+/// @file
+/// Requests whose body is still being sent, and responses in progress.
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "balancer_harness.h"
+
+namespace nettleyoke {
+namespace {
+
+Request request_with_body_in_progress(const std::string& id) {
+  Request request;
+  request.id = id;
+  request.time_left = 6;
+  request.body_in_progress = true;
+  return request;
+}
+
+// Clients that take seconds to send, or to read a response, would use up what the tier may have in flight.
+TEST(BodyInProgress, DoesNotCountAsInFlight) {
+  ReplicaUnderTest replica(basic_settings());
+  replica.at(0, members(1));
+  for (int i = 0; i < 50; ++i)
+    ASSERT_EQ(actions_of<StartAttempt>(replica.at(0, request_with_body_in_progress("c" + std::to_string(i))))
+                  .size(),
+              1U)
+        << i;
+  EXPECT_EQ(actions_of<StartAttempt>(replica.request("r")).size(), 1U);
+  // Once they are complete they count, and others are rejected.
+  for (int i = 0; i < 50; ++i) replica.at(0, RequestBodyComplete{"c" + std::to_string(i)});
+  EXPECT_EQ(actions_of<Reject>(replica.request("late")).size(), 1U);
+  // A request whose response has started counts no more.
+  for (int i = 0; i < 50; ++i) replica.at(0, ResponseStarted{"c" + std::to_string(i), 0, 0.1});
+  EXPECT_EQ(actions_of<StartAttempt>(replica.request("capacity")).size(), 1U);
+  for (int i = 0; i < 50; ++i) {
+    const Outcome outcome = i % 2 == 0 ? Outcome::kSucceeded : Outcome::kReset;
+    EXPECT_TRUE(
+        replica.at(replica.now, AttemptResult{"c" + std::to_string(i), 0, outcome, 0.1, true}).empty());
+  }
+  EXPECT_EQ(actions_of<StartAttempt>(replica.request("after")).size(), 1U);
+}
+
+TEST(BodyInProgress, ClientTimeoutRunsFromItsLastByte) {
+  ReplicaUnderTest replica(basic_settings());
+  replica.at(0, members(2));
+  ASSERT_EQ(actions_of<StartAttempt>(replica.at(0, request_with_body_in_progress("c"))).size(), 1U);
+  replica.at(20, RequestBodyComplete{"c"});
+  const auto again =
+      actions_of<StartAttempt>(replica.at(20.5, AttemptResult{"c", 0, Outcome::kRejected, 0.5}));
+  ASSERT_EQ(again.size(), 1U) << "20 s of sending are not subtracted";
+  EXPECT_LE(again[0].timeout, 5.5);
+}
+
+TEST(BodyInProgress, ConsumedBodyIsNotRetried) {
+  ReplicaUnderTest replica(basic_settings());
+  replica.at(0, members(2));
+  ASSERT_EQ(actions_of<StartAttempt>(replica.at(0, request_with_body_in_progress("c"))).size(), 1U);
+  AttemptResult failed{"c", 0, Outcome::kConnectFailed, 0.1};
+  failed.body_consumed = true;
+  const auto actions = replica.at(0.1, failed);
+  EXPECT_TRUE(actions_of<StartAttempt>(actions).empty());
+  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "it never ran";
+}
+
+}  // namespace
+}  // namespace nettleyoke
--- a/tests/unit/balancer_harness.h
+++ b/tests/unit/balancer_harness.h
@@ -1,8 +1,10 @@
-// What the tests share: a balancer that remembers its clock and hands back the actions of each event.
+/// @file
+/// What the tests of the decision library share: settings and servers that serve most of them, and a balancer
+/// that remembers its clock and returns the actions of each event.
 #pragma once
 
+#include <cstdint>
 #include <string>
-#include <utility>
 #include <variant>
 #include <vector>
 
@@ -10,76 +12,86 @@
 
 namespace nettleyoke {
 
+/// A class of requests with a client timeout of 6 s; all other times are in seconds too.
 inline RequestClass class_of(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
-  RequestClass c;
-  c.latency_objective = 2;
-  c.client_timeout = 6;
-  c.idempotency = idempotency;
-  c.dedup_scope = scope;
-  c.dedup_window = 4;
-  return c;
+  RequestClass request_class;
+  request_class.latency_objective = 2;
+  request_class.client_timeout = 6;
+  request_class.idempotency = idempotency;
+  request_class.dedup_scope = scope;
+  request_class.dedup_window = 4;
+  return request_class;
 }
 
-inline Settings basic_settings(RequestClass c = class_of(Idempotency::kIdempotent)) {
-  Settings s;
-  s.classes = {c};
-  s.max_attempts = 4;
-  s.can_cancel = true;
-  s.max_retry_after = 2;
-  return s;
+inline Settings basic_settings(const RequestClass& request_class = class_of(Idempotency::kIdempotent)) {
+  Settings settings;
+  settings.classes = {request_class};
+  settings.max_attempts = 4;
+  settings.can_cancel = true;
+  settings.max_retry_after = 2;
+  return settings;
 }
 
-inline Server server(int n, int zone = 0, int cell = 0) {
-  Server s;
-  s.address = "s" + std::to_string(n);
-  s.zone = zone;
-  s.cell = cell;
-  return s;
+/// Server "s" with its number.
+inline Server server(int number, int zone = 0, int cell = 0) {
+  Server server;
+  server.address = "s" + std::to_string(number);
+  server.zone = zone;
+  server.cell = cell;
+  return server;
 }
 
+/// A complete list of servers s0, s1 ...
 inline MembershipUpdate members(int count) {
-  MembershipUpdate m;
-  for (int i = 0; i < count; ++i) m.servers.push_back(server(i));
-  return m;
+  MembershipUpdate update;
+  for (int number = 0; number < count; ++number) update.servers.push_back(server(number));
+  return update;
 }
 
-// By the rules' own table of outcomes, for the checkers.
-inline bool proves_unrun(Outcome o) {
-  return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
+/// Whether an outcome shows that the attempt never ran, by the rules' own table and not by the library's.
+inline bool proves_unrun(Outcome outcome) {
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
-struct Copy {
-  explicit Copy(const Settings& settings, std::uint64_t seed = 1) : balancer(settings, seed) {}
+/// One replica: a balancer and its clock.
+struct ReplicaUnderTest {
+  explicit ReplicaUnderTest(const Settings& settings, std::uint64_t seed = 1) : balancer(settings, seed) {}
 
+  /// Sets the clock and handles an event.
   std::vector<Action> at(double time, const Event& event) {
     now = time;
-    std::vector<Action> out;
-    balancer.handle(now, event, out);
-    return out;
+    std::vector<Action> actions;
+    balancer.handle(now, event, actions);
+    return actions;
   }
+  /// Handles a request whose client gives up 6 s from now.
   std::vector<Action> request(const std::string& id, std::size_t tenant = 0, std::size_t request_class = 0) {
-    Request r;
-    r.id = id;
-    r.tenant = tenant;
-    r.request_class = request_class;
-    r.time_left = 6;
-    return at(now, r);
+    Request request;
+    request.id = id;
+    request.tenant = tenant;
+    request.request_class = request_class;
+    request.time_left = 6;
+    return at(now, request);
   }
-  std::vector<Action> end(const std::string& id, Outcome outcome, int attempt = 0, double elapsed = 0.1) {
+  /// Handles the result of an attempt.
+  /// @param elapsed  seconds since the attempt started
+  std::vector<Action> end_attempt(const std::string& id, Outcome outcome, int attempt = 0,
+                                  double elapsed = 0.1) {
     return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSucceeded});
   }
 
   Balancer balancer;
-  double now = 0;
+  double now = 0;  ///< s
 };
 
-template <typename T>
-std::vector<T> all(const std::vector<Action>& actions) {
-  std::vector<T> out;
-  for (const Action& a : actions) {
-    if (const T* t = std::get_if<T>(&a)) out.push_back(*t);
+/// The actions of one kind, in their order.
+template <typename Kind>
+std::vector<Kind> actions_of(const std::vector<Action>& actions) {
+  std::vector<Kind> matching;
+  for (const Action& action : actions) {
+    if (const Kind* match = std::get_if<Kind>(&action)) matching.push_back(*match);
   }
-  return out;
+  return matching;
 }
 
 }  // namespace nettleyoke
--- a/tests/unit/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -1,4 +1,6 @@
-// How long calls are given, over several tiers: the module alone, its nodes and servers on one made clock.
+/// @file
+/// Timeouts of attempts, also over several tiers: the decision library alone, with its nodes and servers on
+/// one simulated clock.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +10,9 @@
 #include <memory>
 #include <queue>
 #include <string>
+#include <tuple>
 #include <utility>
+#include <vector>
 
 #include "balancer_harness.h"
 #include "support.h"
@@ -16,273 +20,287 @@
 namespace nettleyoke {
 namespace {
 
-constexpr double kLoad = 0.6;    // of what a tier can do
-constexpr int kTries = 3;        // of one client
-constexpr double kPause = 0.02;  // s; between them
+constexpr double kNormalLoad = 0.6;  // of what a tier can serve
+constexpr int kClientAttempts = 3;
+constexpr double kClientPauseSeconds = 0.02;  // between two attempts of a client
 
 struct Chain {
   int tiers = 3;
   bool passes_deadline = true;
-  double deadline = 0.4, work = 0.02;  // s
-  int servers = 6, cores = 2, fronts = 2;
-  double recovery = 20;  // s
+  double deadline = 0.4;  // s
+  double service_seconds = 0.02;
+  int servers = 6;  // of a tier
+  int cores = 2;    // of a server
+  int entry_nodes = 2;
+  double recovery_seconds = 20;
 };
 
-// Tiers of servers, each with a node of its own to the next; work once begun is done, also for nobody.
-class Tiers {
+// Tiers of servers, each with a node of its own to the next; work once begun is finished, also for nobody.
+class SimulatedTiers {
  public:
-  explicit Tiers(const Chain& chain) : chain_(chain), draws_(7) {
-    for (int i = 0; i < chain.fronts; ++i) fronts_.push_back(node(0, i, chain.fronts));
+  explicit SimulatedTiers(const Chain& chain) : chain_(chain), random_(7) {
+    for (int i = 0; i < chain.entry_nodes; ++i) entry_nodes_.push_back(make_node(0, i, chain.entry_nodes));
     for (int tier = 0; tier < chain.tiers; ++tier) {
       for (int i = 0; i < chain.servers; ++i) {
         servers_.push_back(
-            {tier, {}, 0, tier + 1 < chain.tiers ? node(tier + 1, i, chain.servers) : nullptr});
+            {tier, {}, 0, tier + 1 < chain.tiers ? make_node(tier + 1, i, chain.servers) : nullptr});
       }
     }
   }
 
-  // Calls at `load` of what a tier can do, from now on for so long; returns the part that was answered in
-  // time.
+  // Sends requests at `load` of what a tier can serve, from now on for so long; returns the part that was
+  // answered in time.
   double offer(double load, double seconds) {
-    const double rate = load * chain_.servers * chain_.cores / chain_.work, from = now_;
-    int asked = 0, served = 0;
-    for (double at = from; at < from + seconds; at += (0.5 + draws_.unit()) / rate) {
-      ++asked;
-      plan(at, [this, &served] { ask(now_ + chain_.deadline, kTries, served); });
+    const double rate = load * chain_.servers * chain_.cores / chain_.service_seconds;
+    const double from = now_;
+    int sent = 0;
+    int served = 0;
+    for (double at = from; at < from + seconds; at += (0.5 + random_.unit()) / rate) {
+      ++sent;
+      schedule(at, [this, &served] { send_as_client(now_ + chain_.deadline, kClientAttempts, served); });
     }
     run_until(from + seconds);
     const double in_time = served;
-    plan(from + seconds + chain_.deadline, [] {});
+    schedule(from + seconds + chain_.deadline, [] {});
     run_until(from + seconds + chain_.deadline);
-    return in_time / asked;
+    return in_time / sent;
   }
 
-  double slow = 1;       // x the usual work, at all servers
-  int late = 0;          // final answers after their time
-  double last_work = 0;  // calls that the last tier's servers have begun
+  double slowdown = 1;            // of all servers
+  int late_answers = 0;           // final answers after their deadline
+  double last_tier_requests = 0;  // that the last tier's servers have begun
 
  private:
-  struct Call {
-    double until = 0;
+  using Answer = std::function<void(bool succeeded)>;
+  struct PendingRequest {
+    double deadline = 0;
     int attempts = 0;
-    std::function<void(bool)> answer;
+    Answer answer;
   };
   struct Node {
     int tier;
-    std::unique_ptr<Copy> copy;
-    std::map<std::string, Call> calls;
+    std::unique_ptr<ReplicaUnderTest> replica;
+    std::map<std::string, PendingRequest> requests;
   };
-  struct Work {
-    double until;
-    std::function<void(bool)> answer;
+  struct QueuedRequest {
+    double deadline;
+    Answer answer;
   };
-  struct Machine {
+  struct SimulatedServer {
     int tier;
-    std::deque<Work> queue;
-    int busy;
+    std::deque<QueuedRequest> queue;
+    int busy_cores;
     std::unique_ptr<Node> node;
   };
-  struct Planned {
+  struct ScheduledEvent {
     double at;
     std::uint64_t order;
-    std::function<void()> act;
-    bool operator<(const Planned& other) const {
+    std::function<void()> run;
+    bool operator<(const ScheduledEvent& other) const {
       return std::tie(other.at, other.order) < std::tie(at, order);
     }
   };
 
-  std::unique_ptr<Node> node(int tier, int index, int count) {
-    Settings s = basic_settings();
-    s.classes[0].latency_objective = s.classes[0].client_timeout = chain_.deadline;
-    s.replica_index = index;
-    s.replica_count = count;
-    s.tier = tier;
-    auto out = std::make_unique<Node>();
-    out->tier = tier;
-    out->copy = std::make_unique<Copy>(s, static_cast<std::uint64_t>(100 * tier + index));
-    out->copy->at(0, members(chain_.servers));
-    return out;
+  std::unique_ptr<Node> make_node(int tier, int index, int count) const {
+    Settings settings = basic_settings();
+    settings.classes[0].latency_objective = chain_.deadline;
+    settings.classes[0].client_timeout = chain_.deadline;
+    settings.replica_index = index;
+    settings.replica_count = count;
+    settings.tier = tier;
+    auto node = std::make_unique<Node>();
+    node->tier = tier;
+    node->replica =
+        std::make_unique<ReplicaUnderTest>(settings, static_cast<std::uint64_t>(100 * tier + index));
+    node->replica->at(0, members(chain_.servers));
+    return node;
   }
 
-  void plan(double at, std::function<void()> act) { planned_.push({at, ++order_, std::move(act)}); }
-  // A client asks once more, after a moment, as long as its time lasts.
-  void ask(double until, int tries, int& served) {
-    call(*fronts_[draws_.below(fronts_.size())], until, [this, until, tries, &served](bool good) {
-      served += good;
-      if (good || tries == 1) return;
-      plan(now_ + kPause, [this, until, tries, &served] {
-        if (now_ < until) ask(until, tries - 1, served);
+  void schedule(double at, std::function<void()> run) { events_.push({at, ++order_, std::move(run)}); }
+
+  // A client retries after a pause, as long as its time lasts.
+  void send_as_client(double deadline, int attempts, int& served) {
+    Node& node = *entry_nodes_[random_.below(entry_nodes_.size())];
+    handle_request(node, deadline, [this, deadline, attempts, &served](bool succeeded) {
+      served += succeeded;
+      if (succeeded || attempts == 1) return;
+      schedule(now_ + kClientPauseSeconds, [this, deadline, attempts, &served] {
+        if (now_ < deadline) send_as_client(deadline, attempts - 1, served);
       });
     });
   }
+
   void run_until(double end) {
-    while (!planned_.empty() && planned_.top().at <= end) {
-      const Planned next = planned_.top();
-      planned_.pop();
+    while (!events_.empty() && events_.top().at <= end) {
+      const ScheduledEvent next = events_.top();
+      events_.pop();
       now_ = next.at;
-      next.act();
+      next.run();
     }
     now_ = end;
   }
 
-  void call(Node& at, double until, std::function<void(bool)> answer) {
+  void handle_request(Node& node, double deadline, Answer answer) {
     const std::string id = std::to_string(++order_);
-    at.calls[id] = {until, 0, std::move(answer)};
-    perform(at, at.copy->at(now_, Request{id, 0, 0, until - now_, {}}));
+    node.requests[id] = {deadline, 0, std::move(answer)};
+    execute(node, node.replica->at(now_, Request{id, 0, 0, deadline - now_, {}}));
   }
 
-  void end(Node& at, const std::string& id, bool good) {
-    const auto found = at.calls.find(id);
-    if (found == at.calls.end()) return;
-    const Call ended = std::move(found->second);
-    at.calls.erase(found);
-    late += now_ > ended.until + 1e-9;
-    ended.answer(good && now_ <= ended.until);
+  void finish(Node& node, const std::string& id, bool succeeded) {
+    const auto found = node.requests.find(id);
+    if (found == node.requests.end()) return;
+    const PendingRequest finished = std::move(found->second);
+    node.requests.erase(found);
+    late_answers += now_ > finished.deadline + 1e-9;
+    finished.answer(succeeded && now_ <= finished.deadline);
   }
 
-  void result(Node& at, const std::string& id, int attempt, Outcome outcome, double sent) {
-    const bool served = outcome == Outcome::kSucceeded;
-    if (served) end(at, id, true);
-    perform(at, at.copy->at(now_, AttemptResult{id, attempt, outcome, now_ - sent, !at.calls.contains(id)}));
+  void report_result(Node& node, const std::string& id, int attempt, Outcome outcome, double started_at) {
+    if (outcome == Outcome::kSucceeded) finish(node, id, true);
+    execute(node, node.replica->at(now_, AttemptResult{id, attempt, outcome, now_ - started_at,
+                                                       !node.requests.contains(id)}));
   }
 
-  void perform(Node& at, const std::vector<Action>& actions) {
+  void execute(Node& node, const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      if (const auto* r = std::get_if<Reject>(&action)) end(at, r->id, false);
-      if (const auto* f = std::get_if<Fail>(&action)) end(at, f->id, false);
-      if (const auto* s = std::get_if<StartAttempt>(&action)) send(at, *s);
+      if (const auto* rejection = std::get_if<Reject>(&action)) finish(node, rejection->id, false);
+      if (const auto* failure = std::get_if<Fail>(&action)) finish(node, failure->id, false);
+      if (const auto* started = std::get_if<StartAttempt>(&action)) start_attempt(node, *started);
     }
   }
 
-  void send(Node& at, const StartAttempt& s) {
-    const int attempt = at.calls.at(s.id).attempts++;
-    const auto over = std::make_shared<bool>(false);
-    const double sent = now_, until = now_ + s.deadline;
-    const auto report = [this, &at, id = s.id, attempt, over, sent](Outcome outcome) {
-      if (!std::exchange(*over, true)) result(at, id, attempt, outcome, sent);
+  void start_attempt(Node& node, const StartAttempt& started) {
+    const int attempt = node.requests.at(started.id).attempts++;
+    const auto is_reported = std::make_shared<bool>(false);
+    const double started_at = now_;
+    const double deadline = now_ + started.deadline;
+    const auto report = [this, &node, id = started.id, attempt, is_reported, started_at](Outcome outcome) {
+      if (!std::exchange(*is_reported, true)) report_result(node, id, attempt, outcome, started_at);
     };
-    plan(now_ + s.timeout, [report] { report(Outcome::kTimedOut); });
-    Machine& to =
-        servers_[static_cast<std::size_t>(at.tier * chain_.servers + std::stoi(s.server.substr(1)))];
-    to.queue.push_back(
-        {until, [report](bool good) { report(good ? Outcome::kSucceeded : Outcome::kServerError); }});
-    work(to);
+    schedule(now_ + started.timeout, [report] { report(Outcome::kTimedOut); });
+    const int number = node.tier * chain_.servers + std::stoi(started.server.substr(1));
+    SimulatedServer& server = servers_[static_cast<std::size_t>(number)];
+    server.queue.push_back({deadline, [report](bool succeeded) {
+                              report(succeeded ? Outcome::kSucceeded : Outcome::kServerError);
+                            }});
+    serve_queue(server);
   }
 
-  void work(Machine& on) {
-    while (on.busy < chain_.cores && !on.queue.empty()) {
-      const Work next = std::move(on.queue.front());
-      on.queue.pop_front();
-      ++on.busy;
-      last_work += on.tier + 1 == chain_.tiers;
-      plan(now_ + slow * chain_.work * (0.5 + draws_.unit()), [this, &on, next] {
-        --on.busy;
-        const double until = chain_.passes_deadline ? next.until : now_ + chain_.deadline;
-        if (!on.node) {
+  void serve_queue(SimulatedServer& server) {
+    while (server.busy_cores < chain_.cores && !server.queue.empty()) {
+      const QueuedRequest next = std::move(server.queue.front());
+      server.queue.pop_front();
+      ++server.busy_cores;
+      last_tier_requests += server.tier + 1 == chain_.tiers;
+      schedule(now_ + slowdown * chain_.service_seconds * (0.5 + random_.unit()), [this, &server, next] {
+        --server.busy_cores;
+        const double deadline = chain_.passes_deadline ? next.deadline : now_ + chain_.deadline;
+        if (!server.node) {
           next.answer(true);
-        } else if (until <= now_) {
+        } else if (deadline <= now_) {
           next.answer(false);
         } else {
-          call(*on.node, until, next.answer);
+          handle_request(*server.node, deadline, next.answer);
         }
-        work(on);
+        serve_queue(server);
       });
     }
   }
 
   Chain chain_;
-  Random draws_;
-  std::priority_queue<Planned> planned_;
+  Random random_;
+  std::priority_queue<ScheduledEvent> events_;
   std::uint64_t order_ = 0;
   double now_ = 0;
-  std::vector<std::unique_ptr<Node>> fronts_;
-  std::vector<Machine> servers_;
+  std::vector<std::unique_ptr<Node>> entry_nodes_;
+  std::vector<SimulatedServer> servers_;
 };
 
-class Overload : public testing::TestWithParam<Chain> {};
+class TransientOverload : public testing::TestWithParam<Chain> {};
 
-// All servers turn slow for a while, and clients ask again. The harm goes with its cause: what is learned
-// from the calls that were quick enough must not leave the tiers behind with less than they need.
-TEST_P(Overload, LeavesNothingBehind) {
+// All servers turn slow for a while, and clients retry. The harm ends with its cause: what is learned from
+// the responses that were quick enough must not leave the tiers behind with less time than they need.
+TEST_P(TransientOverload, LeavesNoLastingHarm) {
   const Chain& chain = GetParam();
-  Tiers tiers(chain);
-  EXPECT_GT(tiers.offer(kLoad, 10), 0.95);
-  tiers.slow = 3;
-  EXPECT_LT(tiers.offer(kLoad, 4), 0.6);
-  tiers.slow = 1;
-  tiers.offer(kLoad, chain.recovery);
-  const double begun = tiers.last_work;
-  EXPECT_GT(tiers.offer(kLoad, 10), 0.95);
-  const double first_tries = kLoad * chain.servers * chain.cores / chain.work * 10;
-  EXPECT_LT((tiers.last_work - begun) / first_tries, 1.2);
-  EXPECT_EQ(tiers.late, 0);
+  SimulatedTiers tiers(chain);
+  EXPECT_GT(tiers.offer(kNormalLoad, 10), 0.95);
+  tiers.slowdown = 3;
+  EXPECT_LT(tiers.offer(kNormalLoad, 4), 0.6);
+  tiers.slowdown = 1;
+  tiers.offer(kNormalLoad, chain.recovery_seconds);
+  const double requests_before = tiers.last_tier_requests;
+  EXPECT_GT(tiers.offer(kNormalLoad, 10), 0.95);
+  const double first_attempts = kNormalLoad * chain.servers * chain.cores / chain.service_seconds * 10;
+  EXPECT_LT((tiers.last_tier_requests - requests_before) / first_attempts, 1.2);
+  EXPECT_EQ(tiers.late_answers, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Chains, Overload,
+    Chains, TransientOverload,
     testing::Values(Chain{.tiers = 1}, Chain{.tiers = 2}, Chain{.tiers = 3},
                     Chain{.tiers = 3, .passes_deadline = false}, Chain{.tiers = 3, .deadline = 2},
                     Chain{.tiers = 3, .deadline = 0.2}, Chain{.tiers = 7, .deadline = 0.6},
-                    Chain{.tiers = 7, .passes_deadline = false, .deadline = 2, .recovery = 40}));
+                    Chain{.tiers = 7, .passes_deadline = false, .deadline = 2, .recovery_seconds = 40}));
 
-// A copy that has learned answer times of 0.05 and 0.15 s.
-struct Learned : Copy {
-  Learned() : Copy(basic_settings()) {
+// A replica that has learned response times of 0.05 and 0.15 s.
+struct TrainedReplica : ReplicaUnderTest {
+  TrainedReplica() : ReplicaUnderTest(basic_settings()) {
     at(0, members(2));
     for (int i = 0; i < 100; ++i) {
       now += 0.2;
       request("q" + std::to_string(i));
-      end("q" + std::to_string(i), Outcome::kSucceeded, 0, i % 2 == 0 ? 0.05 : 0.15);
+      end_attempt("q" + std::to_string(i), Outcome::kSucceeded, 0, i % 2 == 0 ? 0.05 : 0.15);
     }
   }
-  std::vector<Action> hurried(const std::string& id, double time_left) {
+  std::vector<Action> request_with(const std::string& id, double time_left) {
     return at(now, Request{id, 0, 0, time_left, {}});
   }
 };
 
-TEST(Deadlines, ServersAreToldWhatIsLeftAndNotHowLongTheyAreWaitedFor) {
-  Learned copy;
-  const StartAttempt sent = all<StartAttempt>(copy.request("r")).at(0);
-  EXPECT_LT(sent.timeout, 0.6);
-  EXPECT_NEAR(sent.deadline, 2, 1e-9);  // the aim
-  copy.now += sent.timeout;
-  const StartAttempt again = all<StartAttempt>(copy.end("r", Outcome::kTimedOut, 0, sent.timeout)).at(0);
-  EXPECT_NEAR(again.deadline, 2 - sent.timeout, 1e-9);
+TEST(AttemptDeadline, ServerGetsTheRemainingTimeAndNotTheAttemptTimeout) {
+  TrainedReplica replica;
+  const StartAttempt first = actions_of<StartAttempt>(replica.request("r")).at(0);
+  EXPECT_LT(first.timeout, 0.6);
+  EXPECT_NEAR(first.deadline, 2, 1e-9);  // the latency objective
+  replica.now += first.timeout;
+  const StartAttempt retry =
+      actions_of<StartAttempt>(replica.end_attempt("r", Outcome::kTimedOut, 0, first.timeout)).at(0);
+  EXPECT_NEAR(retry.deadline, 2 - first.timeout, 1e-9);
 }
 
-TEST(Deadlines, ATimeOutThatTheCallerCutShortTellsOfNoServer) {
-  Learned copy;
-  const double before = all<StartAttempt>(copy.request("before")).at(0).timeout;
+TEST(AttemptDeadline, TimeoutCutShortByTheClientDoesNotCountAgainstTheServer) {
+  TrainedReplica replica;
+  const double before = actions_of<StartAttempt>(replica.request("before")).at(0).timeout;
   for (int i = 0; i < 40; ++i) {
-    copy.now += 0.2;
+    replica.now += 0.2;
     const std::string id = "h" + std::to_string(i);
-    ASSERT_EQ(all<StartAttempt>(copy.hurried(id, 0.06)).size(), 1U);
-    copy.now += 0.06;
-    copy.end(id, Outcome::kTimedOut, 0, 0.06);
+    ASSERT_EQ(actions_of<StartAttempt>(replica.request_with(id, 0.06)).size(), 1U);
+    replica.now += 0.06;
+    replica.end_attempt(id, Outcome::kTimedOut, 0, 0.06);
   }
-  EXPECT_GE(all<StartAttempt>(copy.request("after")).at(0).timeout, before);
-  EXPECT_EQ(copy.balancer.unavailable_servers(copy.now), 0U);
+  EXPECT_GE(actions_of<StartAttempt>(replica.request("after")).at(0).timeout, before);
+  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
 }
 
-TEST(Deadlines, ATimeOutThatHadItsTimeTellsOfItsServer) {
-  Learned copy;
+TEST(AttemptDeadline, FullTimeoutCountsAgainstTheServer) {
+  TrainedReplica replica;
   for (int i = 0; i < 20; ++i) {
     const std::string id = "h" + std::to_string(i);
-    copy.hurried(id, 0.4);
-    copy.now += 0.4;
-    copy.end(id, Outcome::kTimedOut, 0, 0.4);
+    replica.request_with(id, 0.4);
+    replica.now += 0.4;
+    replica.end_attempt(id, Outcome::kTimedOut, 0, 0.4);
   }
-  EXPECT_GT(copy.balancer.unavailable_servers(copy.now), 0U);
+  EXPECT_GT(replica.balancer.unavailable_servers(replica.now), 0U);
 }
 
-TEST(Deadlines, ACallThatCanNotBeAnsweredAnyMoreCostsNoServer) {
-  Learned copy;
-  const auto late = copy.hurried("late", 0.03);
-  EXPECT_TRUE(all<StartAttempt>(late).empty());
-  EXPECT_EQ(all<Reject>(late).size(), 1U);
-  EXPECT_EQ(all<StartAttempt>(copy.hurried("in time", 0.06)).size(), 1U);
-  copy.now += 10;  // servers may be quicker by now
-  EXPECT_EQ(all<StartAttempt>(copy.hurried("later", 0.03)).size(), 1U);
+TEST(AttemptDeadline, RequestThatCannotBeAnsweredInTimeIsRejected) {
+  TrainedReplica replica;
+  const auto late = replica.request_with("late", 0.03);
+  EXPECT_TRUE(actions_of<StartAttempt>(late).empty());
+  EXPECT_EQ(actions_of<Reject>(late).size(), 1U);
+  EXPECT_EQ(actions_of<StartAttempt>(replica.request_with("in time", 0.06)).size(), 1U);
+  replica.now += 10;  // servers may be quicker by now
+  EXPECT_EQ(actions_of<StartAttempt>(replica.request_with("later", 0.03)).size(), 1U);
 }
 
 }  // namespace
--- a/tests/unit/property_test.cpp
+++ b/tests/unit/property_test.cpp
@@ -1,224 +1,244 @@
-// The rules under anything: long seeded sequences of events over many settings, watched by a checker that is
-// written from the rules' wording and shares nothing with the module.
+/// @file
+/// The rules under any events: long seeded sequences over many settings, watched by a checker that is written
+/// from the wording of the rules and shares nothing with the decision library.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <map>
 #include <optional>
 #include <random>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "balancer_harness.h"
 
 namespace nettleyoke {
 namespace {
 
-struct Sent {
+struct SentAttempt {
   std::string server;
-  double at = 0;
-  bool open = true;
+  double started_at = 0;
+  bool in_flight = true;
   bool may_have_run = true;  // until an outcome proves that it never did
 };
 
-struct Held {
+struct TrackedRequest {
   std::size_t request_class = 0;
   double due = 0;  // when the client gives up
-  std::vector<Sent> sent;
+  std::vector<SentAttempt> attempts;
   bool concluded = false;  // the request has its final answer, or nobody waits for one
 };
 
-// Everything that a host knows: what it told the copy and what the copy asked for.
-class Watcher {
+// A host of one replica: it knows all events that it reported and all actions that the replica asked for.
+class RuleChecker {
  public:
-  Watcher(const Settings& settings, std::uint64_t seed)
-      : settings_(settings), copy_(settings, seed), dice_(seed) {}
+  RuleChecker(const Settings& settings, std::uint64_t seed)
+      : settings_(settings), replica_(settings, seed), random_(seed) {}
 
-  void play(int steps) {
-    tell({MembershipUpdate::Form::kFull, some_servers()});
+  void run(int steps) {
+    update({MembershipUpdate::Form::kFull, some_servers()});
     for (int i = 0; i < steps && !testing::Test::HasFailure(); ++i) {
-      now_ += roll(20) == 0 ? 5.0 * part() : 0.02 * part();  // mostly steady, sometimes a jump
+      now_ += draw(20) == 0 ? 5.0 * draw_unit() : 0.02 * draw_unit();  // mostly steady, sometimes a jump
       expire();
       step(i);
     }
     now_ += 100;
     expire();
-    for (const auto& [id, held] : held_) {
-      EXPECT_TRUE(held.concluded) << id << " never got a final answer";
+    for (const auto& [id, tracked] : requests_) {
+      EXPECT_TRUE(tracked.concluded) << id << " never got a final answer";
     }
   }
 
  private:
-  int roll(int sides) { return static_cast<int>(dice_() % static_cast<unsigned>(sides)); }
-  double part() { return static_cast<double>(roll(1000)) / 1000; }
+  int draw(int count) { return static_cast<int>(random_() % static_cast<unsigned>(count)); }
+  double draw_unit() { return static_cast<double>(draw(1000)) / 1000; }
 
   std::vector<Server> some_servers() {
-    std::vector<Server> out;
+    std::vector<Server> servers;
     for (int i = 0; i < 12; ++i) {
-      if (roll(4) == 0) continue;
-      Server s = server(i, i % 2, i / 3);
-      if (roll(3) == 0) s.started = now_ - part();
-      s.state = static_cast<ServerState>(roll(5) < 3 ? 0 : roll(3));
-      out.push_back(s);
+      if (draw(4) == 0) continue;
+      Server next = server(i, i % 2, i / 3);
+      if (draw(3) == 0) next.started = now_ - draw_unit();
+      next.state = static_cast<ServerState>(draw(5) < 3 ? 0 : draw(3));
+      servers.push_back(next);
     }
-    return out;
+    return servers;
   }
 
-  void tell(const MembershipUpdate& update) {
+  void update(const MembershipUpdate& update) {
     if (update.form == MembershipUpdate::Form::kFull) usable_.clear();
-    for (const Server& s : update.servers) {
-      told_[s.address] = s;
-      usable_[s.address] = s.state == ServerState::kReady;
+    for (const Server& server : update.servers) {
+      listed_[server.address] = server;
+      usable_[server.address] = server.state == ServerState::kReady;
     }
-    check(copy_.at(now_, update));
+    check(replica_.at(now_, update));
   }
 
-  // The host ends what runs out of time, as a wire would: a time-out for each open attempt.
+  // Ends the attempts of requests that run out of time, as a host would, with a timeout each.
   void expire() {
-    for (auto& [id, held] : held_) {
-      if (now_ < held.due) continue;
-      for (std::size_t i = 0; i < held.sent.size(); ++i) {
-        if (held.sent[i].open) end(id, held, i, Outcome::kTimedOut);
+    for (auto& [id, tracked] : requests_) {
+      if (now_ < tracked.due) continue;
+      for (std::size_t i = 0; i < tracked.attempts.size(); ++i) {
+        if (tracked.attempts[i].in_flight) end_attempt(id, tracked, i, Outcome::kTimedOut);
       }
     }
   }
 
-  void end(const std::string& id, Held& held, std::size_t attempt, Outcome outcome) {
-    Sent& sent = held.sent[attempt];
-    sent.open = false;
+  void end_attempt(const std::string& id, TrackedRequest& tracked, std::size_t attempt, Outcome outcome) {
+    SentAttempt& sent = tracked.attempts[attempt];
+    sent.in_flight = false;
     sent.may_have_run = !proves_unrun(outcome);
-    if (outcome == Outcome::kSucceeded) held.concluded = true;
-    const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.at, held.concluded};
-    check(copy_.at(now_, result));
-    if (roll(8) != 0) return;
-    EXPECT_TRUE(copy_.at(now_, result).empty()) << "the same outcome twice";
+    if (outcome == Outcome::kSucceeded) tracked.concluded = true;
+    const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.started_at,
+                               tracked.concluded};
+    check(replica_.at(now_, result));
+    if (draw(8) != 0) return;
+    EXPECT_TRUE(replica_.at(now_, result).empty()) << "the same outcome reported twice";
   }
 
   void step(int i) {
-    const int what = roll(10);
-    if (what < 4) {
-      const std::string id = "r" + std::to_string(i);
-      Held& held = held_[id];
-      held.request_class = static_cast<std::size_t>(roll(static_cast<int>(settings_.classes.size())));
-      const double left = roll(30) == 0 ? 0 : 6 * part();
-      held.due = now_ + left;
-      Request r;
-      r.id = id;
-      r.request_class = held.request_class;
-      r.tenant = static_cast<std::size_t>(roll(3));
-      r.time_left = left;
-      check(copy_.at(now_, r));
-      EXPECT_TRUE(held.concluded || any_open(held)) << id << " is held with nothing out";
-    } else if (what < 8) {
-      end_some();
-    } else if (what == 8 && !held_.empty()) {
-      auto it = held_.lower_bound("r" + std::to_string(roll(std::max(1, i))));
-      if (it == held_.end() || it->second.concluded) return;
-      it->second.concluded = true;  // the client left
-      check(copy_.at(now_, RequestCancelled{it->first}));
-    } else if (roll(4) == 0) {
-      const int form = roll(3);
-      tell({static_cast<MembershipUpdate::Form>(form), form == 2 ? std::vector<Server>() : some_servers()});
+    const int event = draw(10);
+    if (event < 4) {
+      send_request("r" + std::to_string(i));
+    } else if (event < 8) {
+      end_random_attempt();
+    } else if (event == 8 && !requests_.empty()) {
+      cancel_from("r" + std::to_string(draw(std::max(1, i))));
+    } else if (draw(4) == 0) {
+      const int form = draw(3);
+      update({static_cast<MembershipUpdate::Form>(form), form == 2 ? std::vector<Server>() : some_servers()});
     } else {
-      check(copy_.at(now_, TimerFired{static_cast<std::uint64_t>(roll(3))}));
+      check(replica_.at(now_, TimerFired{static_cast<std::uint64_t>(draw(3))}));
     }
   }
 
-  void end_some() {
-    std::vector<std::pair<std::string, std::size_t>> open;
-    for (const auto& [id, held] : held_) {
-      for (std::size_t i = 0; i < held.sent.size(); ++i) {
-        if (held.sent[i].open) open.emplace_back(id, i);
+  void send_request(const std::string& id) {
+    TrackedRequest& tracked = requests_[id];
+    tracked.request_class = static_cast<std::size_t>(draw(static_cast<int>(settings_.classes.size())));
+    const double time_left = draw(30) == 0 ? 0 : 6 * draw_unit();
+    tracked.due = now_ + time_left;
+    Request request;
+    request.id = id;
+    request.request_class = tracked.request_class;
+    request.tenant = static_cast<std::size_t>(draw(3));
+    request.time_left = time_left;
+    check(replica_.at(now_, request));
+    EXPECT_TRUE(tracked.concluded || any_in_flight(tracked)) << id << " is kept with nothing in flight";
+  }
+
+  // Disconnects the client of the first request from that id on, unless the request is concluded.
+  void cancel_from(const std::string& id) {
+    const auto found = requests_.lower_bound(id);
+    if (found == requests_.end() || found->second.concluded) return;
+    found->second.concluded = true;
+    check(replica_.at(now_, RequestCancelled{found->first}));
+  }
+
+  void end_random_attempt() {
+    std::vector<std::pair<std::string, std::size_t>> candidates;
+    for (const auto& [id, tracked] : requests_) {
+      for (std::size_t i = 0; i < tracked.attempts.size(); ++i) {
+        if (tracked.attempts[i].in_flight) candidates.emplace_back(id, i);
       }
     }
-    if (open.empty()) return;
-    const auto& [id, attempt] = open[static_cast<std::size_t>(roll(static_cast<int>(open.size())))];
-    end(id, held_[id], attempt, roll(2) == 0 ? Outcome::kSucceeded : static_cast<Outcome>(roll(9)));
+    if (candidates.empty()) return;
+    const auto& [id, attempt] =
+        candidates[static_cast<std::size_t>(draw(static_cast<int>(candidates.size())))];
+    end_attempt(id, requests_[id], attempt,
+                draw(2) == 0 ? Outcome::kSucceeded : static_cast<Outcome>(draw(9)));
   }
 
-  static bool any_open(const Held& held) {
-    for (const Sent& sent : held.sent) {
-      if (sent.open) return true;
+  static bool any_in_flight(const TrackedRequest& tracked) {
+    for (const SentAttempt& sent : tracked.attempts) {
+      if (sent.in_flight) return true;
     }
     return false;
   }
 
   void check(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<StartAttempt>(&action)) check_send(*send);
-      if (const auto* refuse = std::get_if<Reject>(&action)) check_final(refuse->id, true);
-      if (const auto* fail = std::get_if<Fail>(&action)) check_final(fail->id, false);
+      if (const auto* started = std::get_if<StartAttempt>(&action)) check_attempt(*started);
+      if (const auto* rejection = std::get_if<Reject>(&action)) check_final(rejection->id, true);
+      if (const auto* failure = std::get_if<Fail>(&action)) check_final(failure->id, false);
       if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         EXPECT_TRUE(settings_.can_cancel);
-        EXPECT_LT(static_cast<std::size_t>(cancel->attempt), held_[cancel->id].sent.size());
+        EXPECT_LT(static_cast<std::size_t>(cancel->attempt), requests_[cancel->id].attempts.size());
       }
     }
   }
 
-  void check_final(const std::string& id, bool refused) {
-    Held& held = held_.at(id);
-    EXPECT_FALSE(held.concluded) << id << " got two final answers";
-    held.concluded = true;
-    const RequestClass& c = settings_.classes[held.request_class];
-    const bool harmless =
-        c.idempotency == Idempotency::kIdempotent ||
-        (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll);
-    if (!refused || harmless) return;
-    for (const Sent& sent : held.sent)
-      EXPECT_FALSE(sent.may_have_run) << id << " refused, but it may have run";
+  void check_final(const std::string& id, bool is_rejected) {
+    TrackedRequest& tracked = requests_.at(id);
+    EXPECT_FALSE(tracked.concluded) << id << " got two final answers";
+    tracked.concluded = true;
+    const RequestClass& request_class = settings_.classes[tracked.request_class];
+    const bool harmless = request_class.idempotency == Idempotency::kIdempotent ||
+                          (request_class.idempotency == Idempotency::kIdempotencyKey &&
+                           request_class.dedup_scope == DedupScope::kAll);
+    if (!is_rejected || harmless) return;
+    for (const SentAttempt& sent : tracked.attempts)
+      EXPECT_FALSE(sent.may_have_run) << id << " rejected, but it may have run";
   }
 
-  void check_send(const StartAttempt& send) {
-    Held& held = held_.at(send.id);
-    EXPECT_FALSE(held.concluded) << send.id << " sent after its final answer";
-    EXPECT_TRUE(usable_[send.server]) << send.server << " drains, is gone or was never told";
-    EXPECT_GT(send.timeout, 0);
-    EXPECT_LE(now_ + send.timeout, held.due + 1e-9) << "no time would be left for a final answer";
-    EXPECT_LT(held.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
-    const RequestClass& c = settings_.classes[held.request_class];
-    for (const Sent& before : held.sent) {
-      EXPECT_TRUE(settings_.allow_hedging || !before.open) << send.id << " has two attempts out";
-      if (c.idempotency == Idempotency::kIdempotent || !before.may_have_run) continue;
-      EXPECT_NE(c.idempotency, Idempotency::kNonIdempotent) << send.id << " may run twice";
-      EXPECT_LE(now_, before.at + c.dedup_window) << send.id << " after the servers forgot it";
-      const Server& a = told_[before.server];
-      const Server& b = told_[send.server];
-      EXPECT_TRUE(c.dedup_scope != DedupScope::kZone || a.zone == b.zone) << "another zone may repeat it";
-      EXPECT_TRUE(c.dedup_scope != DedupScope::kCell || a.cell == b.cell) << "another cell may repeat it";
+  void check_attempt(const StartAttempt& started) {
+    TrackedRequest& tracked = requests_.at(started.id);
+    EXPECT_FALSE(tracked.concluded) << started.id << " sent after its final answer";
+    EXPECT_TRUE(usable_[started.server]) << started.server << " is draining, removed or was never listed";
+    EXPECT_GT(started.timeout, 0);
+    EXPECT_LE(now_ + started.timeout, tracked.due + 1e-9) << "no time would be left for a final answer";
+    EXPECT_LT(tracked.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
+    const RequestClass& request_class = settings_.classes[tracked.request_class];
+    for (const SentAttempt& before : tracked.attempts) {
+      EXPECT_TRUE(settings_.allow_hedging || !before.in_flight)
+          << started.id << " has two attempts in flight";
+      if (request_class.idempotency == Idempotency::kIdempotent || !before.may_have_run) continue;
+      EXPECT_NE(request_class.idempotency, Idempotency::kNonIdempotent) << started.id << " may run twice";
+      EXPECT_LE(now_, before.started_at + request_class.dedup_window)
+          << started.id << " after its dedup window";
+      const Server& earlier = listed_[before.server];
+      const Server& next = listed_[started.server];
+      EXPECT_TRUE(request_class.dedup_scope != DedupScope::kZone || earlier.zone == next.zone)
+          << "another zone may repeat it";
+      EXPECT_TRUE(request_class.dedup_scope != DedupScope::kCell || earlier.cell == next.cell)
+          << "another cell may repeat it";
     }
-    held.sent.push_back({send.server, now_});
+    tracked.attempts.push_back({started.server, now_});
   }
 
   Settings settings_;
-  Copy copy_;
-  std::mt19937 dice_;
+  ReplicaUnderTest replica_;
+  std::mt19937 random_;
   double now_ = 50;
-  std::map<std::string, Held> held_;
-  std::map<std::string, Server> told_;
+  std::map<std::string, TrackedRequest> requests_;
+  std::map<std::string, Server> listed_;
   std::map<std::string, bool> usable_;
 };
 
-TEST(Property, TheRulesHoldUnderAnything) {
+TEST(RuleInvariants, HoldUnderRandomEvents) {
   for (unsigned seed = 1; seed <= 120 && !HasFailure(); ++seed) {
-    std::mt19937 dice(seed);
-    const auto roll = [&](int sides) { return static_cast<int>(dice() % static_cast<unsigned>(sides)); };
-    Settings s = basic_settings();
-    s.classes = {class_of(Idempotency::kIdempotent),
-                 class_of(Idempotency::kIdempotencyKey, static_cast<DedupScope>(roll(3))),
-                 class_of(Idempotency::kNonIdempotent)};
-    for (RequestClass& c : s.classes) {
-      c.late_value = roll(2) * 0.5;
-      c.dedup_window = 0.5 + roll(8);
+    std::mt19937 random(seed);
+    const auto draw = [&](int count) { return static_cast<int>(random() % static_cast<unsigned>(count)); };
+    Settings settings = basic_settings();
+    settings.classes = {class_of(Idempotency::kIdempotent),
+                        class_of(Idempotency::kIdempotencyKey, static_cast<DedupScope>(draw(3))),
+                        class_of(Idempotency::kNonIdempotent)};
+    for (RequestClass& request_class : settings.classes) {
+      request_class.late_value = draw(2) * 0.5;
+      request_class.dedup_window = 0.5 + draw(8);
     }
-    s.replica_count = 1 + roll(400);
-    s.replica_index = roll(s.replica_count);
-    s.tier = roll(3);
-    s.max_attempts = 1 + roll(5);
-    s.can_cancel = roll(2) == 0;
-    s.must_watch = roll(2) == 0;
-    s.initial_capacity = 0.2;
-    s.slow_start_duration = roll(10);
-    s.cross_zone_cost = roll(2) * 0.01;
-    s.tenants = {{1.0 + roll(3000)}, {}};
+    settings.replica_count = 1 + draw(400);
+    settings.replica_index = draw(settings.replica_count);
+    settings.tier = draw(3);
+    settings.max_attempts = 1 + draw(5);
+    settings.can_cancel = draw(2) == 0;
+    settings.must_watch = draw(2) == 0;
+    settings.initial_capacity = 0.2;
+    settings.slow_start_duration = draw(10);
+    settings.cross_zone_cost = draw(2) * 0.01;
+    settings.tenants = {{1.0 + draw(3000)}, {}};
     SCOPED_TRACE("seed " + std::to_string(seed));
-    Watcher(s, seed).play(1500);
+    RuleChecker(settings, seed).run(1500);
   }
 }
 
--- a/tests/unit/simulator_adapter_test.cpp
+++ b/tests/unit/simulator_adapter_test.cpp
@@ -1,4 +1,5 @@
-// The adapter as a program: a conversation, bad lines, and one process against three.
+/// @file
+/// The simulator adapter as a program: a conversation, invalid lines, and one process against three.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -12,20 +13,20 @@
 
 namespace {
 
-struct Ran {
+struct AdapterRun {
   std::vector<std::string> lines;
   std::string errors;
-  int code = 0;
+  int exit_code = 0;
 };
 
-std::string slurp(const std::string& path) {
+std::string contents_of(const std::string& path) {
   std::ifstream in(path);
-  std::stringstream out;
-  out << in.rdbuf();
-  return out.str();
+  std::stringstream contents;
+  contents << in.rdbuf();
+  return contents.str();
 }
 
-Ran run(const std::vector<std::string>& lines) {
+AdapterRun run(const std::vector<std::string>& lines) {
   const std::string base = testing::TempDir() + "/adapter_" + std::to_string(getpid());
   {
     std::ofstream in(base + ".in");
@@ -33,13 +34,13 @@
   }
   const std::string command =
       std::string(ADAPTER_PROGRAM) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
-  Ran out;
-  out.code = WEXITSTATUS(std::system(command.c_str()));
-  std::istringstream answers(slurp(base + ".out"));
-  for (std::string line; std::getline(answers, line);) out.lines.push_back(line);
-  out.errors = slurp(base + ".err");
+  AdapterRun result;
+  result.exit_code = WEXITSTATUS(std::system(command.c_str()));
+  std::istringstream answers(contents_of(base + ".out"));
+  for (std::string line; std::getline(answers, line);) result.lines.push_back(line);
+  result.errors = contents_of(base + ".err");
   for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
-  return out;
+  return result;
 }
 
 std::string config_text() {
@@ -64,10 +65,12 @@
          more + "]}";
 }
 
-bool has(const std::string& line, const std::string& part) { return line.find(part) != std::string::npos; }
+bool contains(const std::string& line, const std::string& part) {
+  return line.find(part) != std::string::npos;
+}
 
-TEST(Adapter, HoldsAConversation) {
-  const Ran r = run({
+TEST(SimulatorAdapter, AnswersEachBatchOfEvents) {
+  const AdapterRun adapter = run({
       batch(1, 1, ""),
       batch(2, 1.5, open_node(4)),
       batch(3, 2, R"({"who":4,"news":[{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2,"later":[1]}]})"),
@@ -77,29 +80,29 @@
       batch(5, 2.2,
             R"({"who":4,"news":[{"kind":"GONE","txn":"a"},{"kind":"FIRED","keyBack":77},{"kind":"NEW"}]})"),
   });
-  EXPECT_EQ(r.code, 0) << r.errors;
-  ASSERT_EQ(r.lines.size(), 5U);
-  EXPECT_EQ(r.lines[0], R"({"turn":1,"nodes":[]})");
-  EXPECT_EQ(r.lines[1], R"({"turn":2,"nodes":[{"who":4,"steps":[{"kind":"TAIL","want":true}]}]})");
-  EXPECT_TRUE(has(r.lines[2], R"("kind":"CALL_OUT","txn":"a","server":"10.0.0.)"));
-  EXPECT_EQ(r.lines[3], R"({"turn":4,"nodes":[{"who":4,"steps":[{"kind":"ERROR","txn":"a"}]}]})");
-  EXPECT_EQ(r.lines[4], R"({"turn":5,"nodes":[]})");
+  EXPECT_EQ(adapter.exit_code, 0) << adapter.errors;
+  ASSERT_EQ(adapter.lines.size(), 5U);
+  EXPECT_EQ(adapter.lines[0], R"({"turn":1,"nodes":[]})");
+  EXPECT_EQ(adapter.lines[1], R"({"turn":2,"nodes":[{"who":4,"steps":[{"kind":"TAIL","want":true}]}]})");
+  EXPECT_TRUE(contains(adapter.lines[2], R"("kind":"CALL_OUT","txn":"a","server":"10.0.0.)"));
+  EXPECT_EQ(adapter.lines[3], R"({"turn":4,"nodes":[{"who":4,"steps":[{"kind":"ERROR","txn":"a"}]}]})");
+  EXPECT_EQ(adapter.lines[4], R"({"turn":5,"nodes":[]})");
 }
 
-TEST(Adapter, StopsAndStartsWithinABatch) {
+TEST(SimulatorAdapter, RestartWithinABatchDropsOpenRequests) {
   const std::string query = R"(,{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2})";
   std::string node = open_node(1, query);
   node.insert(node.find("{\"kind\":\"OPEN"),
               R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
-  const Ran r = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
-  EXPECT_EQ(r.code, 0) << r.errors;
-  ASSERT_EQ(r.lines.size(), 2U);
-  EXPECT_FALSE(has(r.lines[1], "\"old\"")) << "what the stopped instance held is void";
-  EXPECT_TRUE(has(r.lines[1], R"("txn":"a")"));
+  const AdapterRun adapter = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
+  EXPECT_EQ(adapter.exit_code, 0) << adapter.errors;
+  ASSERT_EQ(adapter.lines.size(), 2U);
+  EXPECT_FALSE(contains(adapter.lines[1], "\"old\"")) << "requests of the stopped instance are void";
+  EXPECT_TRUE(contains(adapter.lines[1], R"("txn":"a")"));
 }
 
-TEST(Adapter, ListNumbersAreReusedWithinABatch) {
-  const Ran r = run(
+TEST(SimulatorAdapter, ListNumberReusedWithinABatchNamesTheLatestList) {
+  const AdapterRun adapter = run(
       {batch(1, 1, open_node(1)),
        batch(
            2, 2,
@@ -107,20 +110,21 @@
            R"({"kind":"DIRECTORY_UPDATE","sheet":3,"form":"F"},)"
            R"({"kind":"TABLE","sheet":3,"nodesList":[{"server":"c:1","mode":"Ready"}]},)"
            R"({"kind":"DIRECTORY_UPDATE","sheet":3,"form":"F"},{"kind":"QUERY","txn":"a","timeLeft":2}]})")});
-  ASSERT_EQ(r.lines.size(), 2U) << r.errors;
-  EXPECT_TRUE(has(r.lines[1], R"("server":"c:1")"));
+  ASSERT_EQ(adapter.lines.size(), 2U) << adapter.errors;
+  EXPECT_TRUE(contains(adapter.lines[1], R"("server":"c:1")"));
 }
 
-TEST(Adapter, SaysWhatIsWrongWithALine) {
+TEST(SimulatorAdapter, InvalidLineIsNamedAndEndsTheProgram) {
   const auto fails = [](const std::string& line, const std::string& turn, const std::string& part) {
-    const Ran r = run({line});
-    EXPECT_NE(r.code, 0);
-    EXPECT_TRUE(r.lines.empty());
-    EXPECT_TRUE(has(r.errors, "nettleyoke_adapter: line 1, turn " + turn + ": ")) << r.errors;
-    EXPECT_EQ(std::count(r.errors.begin(), r.errors.end(), '\n'), 1) << r.errors;
-    EXPECT_TRUE(has(r.errors, part)) << r.errors;
+    const AdapterRun adapter = run({line});
+    EXPECT_NE(adapter.exit_code, 0);
+    EXPECT_TRUE(adapter.lines.empty());
+    EXPECT_TRUE(contains(adapter.errors, "nettleyoke_adapter: line 1, turn " + turn + ": "))
+        << adapter.errors;
+    EXPECT_EQ(std::count(adapter.errors.begin(), adapter.errors.end(), '\n'), 1) << adapter.errors;
+    EXPECT_TRUE(contains(adapter.errors, part)) << adapter.errors;
   };
-  fails("{\"turn\":", "unknown", "not valid JSON");
+  fails(R"({"turn":)", "unknown", "not valid JSON");
   fails("[1]", "unknown", "not an object");
   fails(R"({"turn":7,"nodes":[]})", "7", "'clock'");
   fails(R"({"turn":7,"clock":1})", "7", "'nodes'");
@@ -142,34 +146,34 @@
   fails(R"({"turn":"7","clock":1,"nodes":[]})", "unknown", "'turn'");
 }
 
-// Unknown outcomes may have run; what is out of range, late or told twice is harmless.
-TEST(Adapter, OddButLegalEventsAreHarmless) {
+// Unknown outcomes may have run; what is out of range, late or reported twice is harmless.
+TEST(SimulatorAdapter, UnusualButValidEventsAreHarmless) {
   const std::string odd = R"({"kind":"DONE","txn":"a","try":9,"outcome":"delivered"},)"
                           R"({"kind":"DONE","txn":"never","outcome":"expired"},)"
                           R"({"kind":"QUERY","txn":"b","account":99,"profile":99,"timeLeft":2})";
-  const std::string strange = R"({"kind":"DONE","txn":"a","outcome":"from a later wire","lag":0.1})";
+  const std::string unknown = R"({"kind":"DONE","txn":"a","outcome":"from a later wire","lag":0.1})";
   const auto news = [](const std::string& events) { return R"({"who":4,"news":[)" + events + "]}"; };
-  const Ran r =
+  const AdapterRun adapter =
       run({batch(1, 1, open_node(4)), batch(2, 2, news(R"({"kind":"QUERY","txn":"a","timeLeft":2})")),
-           batch(3, 2.1, news(odd)), batch(4, 2.2, news(strange)), batch(5, 2.3, news(strange))});
-  EXPECT_EQ(r.code, 0) << r.errors;
-  ASSERT_EQ(r.lines.size(), 5U);
-  EXPECT_TRUE(has(r.lines[2], R"("kind":"CALL_OUT","txn":"b")"));
-  EXPECT_EQ(r.lines[3], R"({"turn":4,"nodes":[{"who":4,"steps":[{"kind":"ERROR","txn":"a"}]}]})");
-  EXPECT_EQ(r.lines[4], R"({"turn":5,"nodes":[]})");
+           batch(3, 2.1, news(odd)), batch(4, 2.2, news(unknown)), batch(5, 2.3, news(unknown))});
+  EXPECT_EQ(adapter.exit_code, 0) << adapter.errors;
+  ASSERT_EQ(adapter.lines.size(), 5U);
+  EXPECT_TRUE(contains(adapter.lines[2], R"("kind":"CALL_OUT","txn":"b")"));
+  EXPECT_EQ(adapter.lines[3], R"({"turn":4,"nodes":[{"who":4,"steps":[{"kind":"ERROR","txn":"a"}]}]})");
+  EXPECT_EQ(adapter.lines[4], R"({"turn":5,"nodes":[]})");
 }
 
-TEST(Adapter, EndOfInputEndsTheProgram) { EXPECT_EQ(run({}).code, 0); }
+TEST(SimulatorAdapter, EndOfInputEndsWithSuccess) { EXPECT_EQ(run({}).exit_code, 0); }
 
-TEST(Adapter, PanicsOnSettingsItCannotUse) {
+TEST(SimulatorAdapter, InvalidSettingsCauseAPanic) {
   const auto panics = [](const std::string& from, const std::string& to, const std::string& part) {
     std::string config = config_text();
     config.replace(config.find(from), from.size(), to);
-    const Ran r = run({batch(1, 1, open_node(2, "", config))});
-    EXPECT_EQ(r.code, 0);
-    ASSERT_EQ(r.lines.size(), 1U);
-    EXPECT_TRUE(has(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
-    EXPECT_TRUE(has(r.lines[0], part)) << r.lines[0];
+    const AdapterRun adapter = run({batch(1, 1, open_node(2, "", config))});
+    EXPECT_EQ(adapter.exit_code, 0);
+    ASSERT_EQ(adapter.lines.size(), 1U);
+    EXPECT_TRUE(contains(adapter.lines[0], R"("kind":"PANIC")")) << adapter.lines[0];
+    EXPECT_TRUE(contains(adapter.lines[0], part)) << adapter.lines[0];
   };
   panics(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
   panics(R"("position":0)", R"("position":1)", "replica_index");
@@ -177,42 +181,52 @@
   panics(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
 }
 
-// Sharing nothing: the actions of an instance do not depend on who else lives in its process.
-TEST(Adapter, OneProcessOrThreeMakesNoDifference) {
-  const auto lines_for = [](const std::vector<int>& whos) {
-    std::vector<std::string> lines;
-    std::string nodes;
-    for (const int who : whos) nodes.append(nodes.empty() ? "" : ",").append(open_node(who));
-    lines.push_back(batch(1, 1, nodes));
-    for (int turn = 2; turn < 60; ++turn) {
-      nodes.clear();
-      for (const int who : whos) {
-        const std::string id = std::to_string(who) + "-" + std::to_string(turn);
-        const std::string old = std::to_string(who) + "-" + std::to_string(turn - 2);
-        nodes += (nodes.empty() ? "" : ",");
-        nodes += R"({"who":)" + std::to_string(who) + R"(,"news":[{"kind":"QUERY","txn":")" + id +
-                 R"(","timeLeft":2},{"kind":"DONE","txn":")" + old + R"(","outcome":")" +
-                 (turn % 3 == 0 ? "shed" : "app_error") + R"(","lag":0.2}]})";
-      }
-      lines.push_back(batch(turn, 1 + turn * 0.1, nodes));
-    }
-    return lines;
-  };
-  const Ran together = run(lines_for({0, 1, 2}));
-  ASSERT_EQ(together.code, 0) << together.errors;
-  std::vector<Ran> apart;
-  for (const int who : {0, 1, 2}) apart.push_back(run(lines_for({who})));
+// The events of one instance in one turn: a new request, and the end of one from two turns before.
+std::string events_of(int who, int turn) {
+  const std::string instance = std::to_string(who);
+  const std::string id = instance + "-" + std::to_string(turn);
+  const std::string earlier = instance + "-" + std::to_string(turn - 2);
+  const std::string outcome = turn % 3 == 0 ? "shed" : "app_error";
+  std::string events = R"({"who":)";
+  events.append(instance).append(R"(,"news":[{"kind":"QUERY","txn":")").append(id);
+  events.append(R"(","timeLeft":2},{"kind":"DONE","txn":")").append(earlier);
+  events.append(R"(","outcome":")").append(outcome).append(R"(","lag":0.2}]})");
+  return events;
+}
+
+std::vector<std::string> lines_for(const std::vector<int>& instances) {
+  std::vector<std::string> lines;
+  std::string nodes;
+  for (const int who : instances) nodes.append(nodes.empty() ? "" : ",").append(open_node(who));
+  lines.push_back(batch(1, 1, nodes));
+  for (int turn = 2; turn < 60; ++turn) {
+    nodes.clear();
+    for (const int who : instances) nodes.append(nodes.empty() ? "" : ",").append(events_of(who, turn));
+    lines.push_back(batch(turn, 1 + turn * 0.1, nodes));
+  }
+  return lines;
+}
+
+// What stands in the outer brackets of an answer: the actions of its instances.
+std::string actions_in(const std::string& line) {
+  const std::size_t start = line.find('[') + 1;
+  return line.substr(start, line.rfind(']') - start);
+}
+
+// Instances share nothing: the actions of an instance do not depend on who else lives in its process.
+TEST(SimulatorAdapter, OneProcessOrThreeGiveTheSameActions) {
+  const AdapterRun together = run(lines_for({0, 1, 2}));
+  ASSERT_EQ(together.exit_code, 0) << together.errors;
+  std::vector<AdapterRun> separate;
+  separate.reserve(3);
+  for (const int who : {0, 1, 2}) separate.push_back(run(lines_for({who})));
   for (std::size_t i = 0; i < together.lines.size(); ++i) {
     std::string joined;
-    for (const Ran& one : apart) {
-      const std::string& line = one.lines.at(i);
-      const std::size_t start = line.find('[') + 1;
-      const std::string inner = line.substr(start, line.rfind(']') - start);
-      if (!inner.empty()) joined += (joined.empty() ? "" : ",") + inner;
+    for (const AdapterRun& one : separate) {
+      const std::string actions = actions_in(one.lines.at(i));
+      if (!actions.empty()) joined.append(joined.empty() ? "" : ",").append(actions);
     }
-    const std::string& line = together.lines[i];
-    const std::size_t start = line.find('[') + 1;
-    EXPECT_EQ(line.substr(start, line.rfind(']') - start), joined);
+    EXPECT_EQ(actions_in(together.lines[i]), joined);
   }
 }
 
