--- a/tests/unit/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "balancer_harness.h"
-#include "support.h"
+#include "statistics/random_source.h"
 
 namespace nettleyoke {
 namespace {
@@ -208,7 +208,7 @@
   }
 
   Chain chain_;
-  Random random_;
+  RandomSource random_;
   std::priority_queue<ScheduledEvent> events_;
   std::uint64_t order_ = 0;
   double now_ = 0;
--- a/tests/unit/fleet_slow_start_test.cpp
+++ b/tests/unit/fleet_slow_start_test.cpp
@@ -16,7 +16,7 @@
 
 #include "balancer_harness.h"
 #include "settings_reader.h"
-#include "support.h"
+#include "statistics/random_source.h"
 
 namespace nettleyoke {
 namespace {
@@ -212,7 +212,7 @@
   }
 
   Scenario scenario_;
-  Random random_;
+  RandomSource random_;
   std::vector<SimulatedServer> servers_;
   std::vector<double> rates_;
   std::vector<std::unique_ptr<ReplicaUnderTest>> replicas_;
