--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -65,6 +65,7 @@
   config.sockets = 128;
   const Deployment deployment({&server}, config, {.descriptor_limit = 128});
   std::vector<Connection> open;
+  open.reserve(300);
   for (int i = 0; i < 200; ++i) open.push_back(deployment.client());
   for (int i = 0; i < 100; ++i) open.push_back(Connection::to(deployment.program->admin_port()));
   for (int i = 0; i < 20; ++i) {
--- a/tests/node/attempt_outcome_test.cpp
+++ b/tests/node/attempt_outcome_test.cpp
@@ -76,7 +76,7 @@
 
 TEST(AttemptOutcome, EndlessResponseHeadMayHaveRun) {
   expect_failed_once([](Connection& connection, const std::string&) {
-    return connection.write("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * 1024, 'x'));
+    return connection.write("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * kKibibyte, 'x'));
   });
 }
 
--- a/tests/node/connection_admission_test.cpp
+++ b/tests/node/connection_admission_test.cpp
@@ -189,6 +189,7 @@
   Deployment deployment({&server}, config, {.descriptor_limit = 64});
   {
     std::vector<Connection> clients;
+    clients.reserve(200);
     for (int i = 0; i < 200; ++i) clients.push_back(deployment.client());
     ASSERT_TRUE(deployment.program->is_running());
   }
--- a/tests/node/large_request_test.cpp
+++ b/tests/node/large_request_test.cpp
@@ -188,6 +188,7 @@
   const NodeProcess node(config.text());
   const std::string body = large_body(4 * kMebibyte);
   std::vector<std::thread> clients;
+  clients.reserve(8);
   std::atomic<int> served = 0;
   for (int i = 0; i < 8; ++i) {
     clients.emplace_back([&, i] {
--- a/tests/node/misbehaving_client_test.cpp
+++ b/tests/node/misbehaving_client_test.cpp
@@ -35,6 +35,7 @@
   Connection usual = deployment.client();
   ASSERT_EQ(status_of(exchange(usual, {.id = "first"})), 200);
   std::vector<Connection> silent;
+  silent.reserve(60);
   for (int i = 0; i < 60; ++i) silent.push_back(deployment.client());
   // All of them have been accepted once a later one is served.
   ASSERT_TRUE(deployment.eventually_answers_with_status(200));
--- a/tests/node/misbehaving_server_test.cpp
+++ b/tests/node/misbehaving_server_test.cpp
@@ -37,7 +37,7 @@
 TEST(MisbehavingServer, EndlessChunkHeadFailsTheAttempt) {
   OneServerDeployment deployment([](Connection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;");
-    while (connection.write(std::string(64 * 1024, 'x'))) {
+    while (connection.write(std::string(64 * kKibibyte, 'x'))) {
     }
     return false;
   });
@@ -109,6 +109,7 @@
   // What waited ends as not sent, and goes to the new one by a connect of its own.
   ASSERT_TRUE(server.eventually_has_pending_connects(2));
   std::vector<Connection> connections;
+  connections.reserve(2);
   for (int i = 0; i < 2; ++i) connections.emplace_back(server.accept());
   int requests = 0;
   for (Connection& connection : connections) {
--- a/tests/node/request_validation_test.cpp
+++ b/tests/node/request_validation_test.cpp
@@ -78,7 +78,7 @@
 }
 
 TEST(RequestValidation, EndlessHeadIsTooLarge) {
-  expect_rejected("GET /close/k HTTP/1.1\r\nX-Long: " + std::string(32 * 1024, 'x'), 431);
+  expect_rejected("GET /close/k HTTP/1.1\r\nX-Long: " + std::string(32 * kKibibyte, 'x'), 431);
 }
 
 TEST(RequestValidation, ContradictoryLengthsAreRejected) {
