--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -3,7 +3,7 @@
 /// ones.
 #include <gtest/gtest.h>
 
-#include "discovery/discovery_client.h"
+#include "discovery/rewatch_backoff.h"
 #include "node_harness.h"
 
 namespace nettleyoke::node {
--- a/tests/unit/simulator_adapter_test.cpp
+++ b/tests/unit/simulator_adapter_test.cpp
@@ -92,7 +92,7 @@
 TEST(SimulatorAdapter, RestartWithinABatchDropsOpenRequests) {
   const std::string query = R"(,{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2})";
   std::string node = open_node(1, query);
-  node.insert(node.find("{\"kind\":\"OPEN"),
+  node.insert(node.find(R"({"kind":"OPEN)"),
               R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
   const AdapterRun adapter = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
   EXPECT_EQ(adapter.exit_code, 0) << adapter.errors;
