--- a/tests/lab/discovery_agent_test.cpp
+++ b/tests/lab/discovery_agent_test.cpp
@@ -6,7 +6,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-using node::Wire;
+using Wire = node::Connection;
 
 struct DiscoveryAgentTest : StandInTest {
   DiscoveryAgent agent{loop.io(), clock, checker, node_number, DiscoveryAgent::Notification::kAtOnce};
--- a/tests/lab/lab_harness.h
+++ b/tests/lab/lab_harness.h
@@ -2,6 +2,8 @@
 /// What tests of the lab share: an event loop beside the test, specs, and a server and an agent on loopback.
 #pragma once
 
+#include <gtest/gtest.h>
+
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -62,7 +64,7 @@
 }
 
 /// What comes up to and with `last`; empty where the connection ends before.
-inline std::string read_until(node::Wire& wire, const std::string& last) {
+inline std::string read_until(node::Connection& wire, const std::string& last) {
   std::string text;
   while (text.find(last) == std::string::npos) {
     const std::string more = wire.read_some();
--- a/tests/lab/server_stand_in_test.cpp
+++ b/tests/lab/server_stand_in_test.cpp
@@ -6,7 +6,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-using node::Wire;
+using Wire = node::Connection;
 
 struct ServerStandInTest : StandInTest {
   ServerStandIn server{
