--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -17,26 +17,26 @@
 // The node's margins, but with no lower bound: nothing lies between a hollow node and its clients.
 constexpr node::DeadlineMargin kMargin{0};
 
-Outcome outcome_of(AttemptEnd how) {
+Outcome outcome_of(AttemptOutcome how) {
   switch (how) {
-    case AttemptEnd::kServed:
+    case AttemptOutcome::kServed:
       return Outcome::kSucceeded;
-    case AttemptEnd::kError:
+    case AttemptOutcome::kServerError:
       return Outcome::kServerError;
-    case AttemptEnd::kTurnedAway:
+    case AttemptOutcome::kRejected:
       return Outcome::kRejected;
-    case AttemptEnd::kCut:
+    case AttemptOutcome::kReset:
       return Outcome::kReset;
     default:
       return Outcome::kUnknown;
   }
 }
 
-node::RequestResult result_of(Ending ending) {
+node::RequestResult result_of(CallOutcome ending) {
   switch (ending) {
-    case Ending::kServed:
+    case CallOutcome::kServed:
       return node::RequestResult::kServed;
-    case Ending::kRefused:
+    case CallOutcome::kRejected:
       return node::RequestResult::kRejected;
     default:
       return node::RequestResult::kFailed;
@@ -122,11 +122,11 @@
   return "";
 }
 
-std::optional<asio::ip::tcp::endpoint> HollowNode::operators() const {
+std::optional<asio::ip::tcp::endpoint> HollowNode::admin_endpoint() const {
   return config_.ops && admin_server_ ? std::optional(admin_server_->local()) : std::nullopt;
 }
 
-void HollowNode::end() {
+void HollowNode::shut_down() {
   discovery_.reset();
   admin_server_.reset();
   has_ended_ = true;
@@ -163,25 +163,26 @@
 
 // ---------------------------------------------------------------- calls
 
-void HollowNode::call(const Call& call, std::function<void(Ending)> ended) {
+void HollowNode::call(const Call& call, std::function<void(CallOutcome)> ended) {
   metrics_.request_started();
   InFlightCall& accepted = in_flight_calls_[call.id];
   accepted.request_class = call.request_class;
   accepted.class_number = call.class_number;
   accepted.ended = std::move(ended);
-  accepted.time_left = call.time;
-  if (in_flight_calls_.size() > config_.max_open) return answer_and_settle(call.id, Ending::kRefused);
-  const double end = clock_.now() + call.time;
-  accepted.attempts_end_at = kMargin.attempts_end(end, call.time);
-  accepted.fallback_timer = end_at(kMargin.fallback_at(end, call.time), call.id, Ending::kFailed);
-  if (call.leave_after > 0) {
-    accepted.disconnect_timer = end_at(clock_.now() + call.leave_after, call.id, Ending::kLeft);
+  accepted.time_left = call.timeout;
+  if (in_flight_calls_.size() > config_.max_open) return answer_and_settle(call.id, CallOutcome::kRejected);
+  const double end = clock_.now() + call.timeout;
+  accepted.attempts_end_at = kMargin.attempts_end(end, call.timeout);
+  accepted.fallback_timer = end_at(kMargin.fallback_at(end, call.timeout), call.id, CallOutcome::kFailed);
+  if (call.disconnect_after > 0) {
+    accepted.disconnect_timer =
+        end_at(clock_.now() + call.disconnect_after, call.id, CallOutcome::kClientDisconnected);
   }
   Request event;
   event.id = call.id;
   event.tenant = call.tenant_number;
   event.request_class = call.class_number;
-  event.time_left = call.time - kMargin.of(call.time);
+  event.time_left = call.timeout - kMargin.of(call.timeout);
   event.is_client_retry = call.is_retry;
   decisions_->enqueue_event(std::move(event));
 }
@@ -203,7 +204,8 @@
   return attempt.is_open ? &attempt : nullptr;
 }
 
-std::unique_ptr<asio::steady_timer> HollowNode::end_at(double due_at, const std::string& id, Ending ending) {
+std::unique_ptr<asio::steady_timer> HollowNode::end_at(double due_at, const std::string& id,
+                                                       CallOutcome ending) {
   auto timer = std::make_unique<asio::steady_timer>(io_, clock_.at(due_at));
   timer->async_wait([this, alive = alive_, id, ending](error_code cancelled) {
     if (!cancelled && *alive) cancel_call(id, ending);
@@ -212,7 +214,7 @@
 }
 
 // Its client has left, or its time is over.
-void HollowNode::cancel_call(const std::string& id, Ending ending) {
+void HollowNode::cancel_call(const std::string& id, CallOutcome ending) {
   InFlightCall* const call = find_unanswered(id);
   if (call == nullptr) return;
   answer(*call, ending);
@@ -220,14 +222,14 @@
   erase_if_settled(id);
 }
 
-void HollowNode::answer(InFlightCall& call, Ending ending) {
+void HollowNode::answer(InFlightCall& call, CallOutcome ending) {
   call.fallback_timer.reset();
   call.disconnect_timer.reset();
   metrics_.request_ended(call.request_class, result_of(ending));
   asio::post(io_, [ended = std::exchange(call.ended, nullptr), ending] { ended(ending); });
 }
 
-void HollowNode::answer_and_settle(const std::string& id, Ending ending) {
+void HollowNode::answer_and_settle(const std::string& id, CallOutcome ending) {
   InFlightCall* const call = find_unanswered(id);
   if (call == nullptr) return;
   answer(*call, ending);
@@ -263,8 +265,8 @@
 void HollowNode::run_attempt(const std::string& id, std::size_t number, Attempt& attempt,
                              std::size_t class_number, double timeout) {
   metrics_.attempt_sent();
-  attempt.number = attempt.server->begin_direct(id, place_.number, class_number, timeout,
-                                                [this, alive = alive_, id, number](AttemptEnd how) {
+  attempt.number = attempt.server->start_direct(id, place_.number, class_number, timeout,
+                                                [this, alive = alive_, id, number](AttemptOutcome how) {
                                                   if (*alive) on_attempt_ended(id, number, outcome_of(how));
                                                 });
   attempt.timeout_timer = std::make_unique<asio::steady_timer>(io_, Clock::span(timeout));
@@ -276,7 +278,7 @@
 void HollowNode::on_attempt_timeout(const std::string& id, std::size_t number) {
   Attempt* const attempt = find_open_attempt(id, number);
   if (attempt == nullptr) return;
-  attempt->server->give_up_direct(attempt->number);
+  attempt->server->cancel_direct(attempt->number);
   on_attempt_ended(id, number, Outcome::kTimedOut);
 }
 
@@ -286,7 +288,7 @@
   attempt->is_open = false;
   attempt->timeout_timer.reset();
   InFlightCall& call = *find(id);
-  if (outcome == Outcome::kSucceeded && !call.is_completed()) answer(call, Ending::kServed);
+  if (outcome == Outcome::kSucceeded && !call.is_completed()) answer(call, CallOutcome::kServed);
   AttemptResult event;
   event.id = id;
   event.attempt = static_cast<int>(number);
@@ -307,15 +309,15 @@
   Attempt* const attempt = find_open_attempt(action.id, number);
   if (attempt == nullptr) return;
   attempt->timeout_timer.reset();
-  if (attempt->server != nullptr) attempt->server->give_up_direct(attempt->number);
+  if (attempt->server != nullptr) attempt->server->cancel_direct(attempt->number);
   end_attempt_later(action.id, number, Outcome::kCancelled);
 }
 
 // ---------------------------------------------------------------- other actions
 
-void HollowNode::execute(const Reject& action) { answer_and_settle(action.id, Ending::kRefused); }
+void HollowNode::execute(const Reject& action) { answer_and_settle(action.id, CallOutcome::kRejected); }
 
-void HollowNode::execute(const Fail& action) { answer_and_settle(action.id, Ending::kFailed); }
+void HollowNode::execute(const Fail& action) { answer_and_settle(action.id, CallOutcome::kFailed); }
 
 void HollowNode::execute(const SetTimer& action) {
   run_later(std::max(0.0, action.due_at - clock_.now()),
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -32,7 +32,7 @@
 
 namespace nettleyoke::lab {
 
-class HollowNode : public PlayedNode,
+class HollowNode : public NodeUnderTest,
                    private node::ActionExecutor,
                    private node::MembershipTracker::Observer {
  public:
@@ -52,20 +52,20 @@
   std::size_t number() const override { return place_.number; }
   const std::string& zone() const override { return place_.zone; }
   void start(const std::string& config, std::function<void()> ready) override;
-  void call(const Call& call, std::function<void(Ending)> ended) override;
-  void end() override;
-  bool has_ended() override { return has_ended_; }
-  int status() const override { return 0; }
+  void call(const Call& call, std::function<void(CallOutcome)> ended) override;
+  void shut_down() override;
+  bool has_exited() override { return has_ended_; }
+  int exit_status() const override { return 0; }
   Usage usage() const override { return {}; }
-  std::optional<boost::asio::ip::tcp::endpoint> operators() const override;
+  std::optional<boost::asio::ip::tcp::endpoint> admin_endpoint() const override;
   std::string log() const override { return {}; }
-  std::size_t stray_answers() const override { return 0; }
-  std::optional<std::uint64_t> list_index() const override { return list_version_; }
+  std::size_t unsolicited_responses() const override { return 0; }
+  std::optional<std::uint64_t> list_version() const override { return list_version_; }
 
  private:
   struct Attempt {
     ServerStandIn* server = nullptr;
-    ServerStandIn::DirectNumber number = 0;
+    ServerStandIn::DirectAttemptId number = 0;
     double started_at = 0;
     std::unique_ptr<boost::asio::steady_timer> timeout_timer;
     bool is_open = true;
@@ -73,7 +73,7 @@
   struct InFlightCall {
     std::string request_class;
     std::size_t class_number = 0;
-    std::function<void(Ending)> ended;  // empty once the final answer is out, or nobody waits for it
+    std::function<void(CallOutcome)> ended;  // empty once the final answer is out, or nobody waits for it
     double attempts_end_at = 0;
     double time_left = 0;
     std::unique_ptr<boost::asio::steady_timer> fallback_timer, disconnect_timer;
@@ -99,10 +99,10 @@
   /// Null unless the attempt is open.
   [[nodiscard]] Attempt* find_open_attempt(const std::string& id, std::size_t number);
   [[nodiscard]] std::unique_ptr<boost::asio::steady_timer> end_at(double due_at, const std::string& id,
-                                                                  Ending ending);
-  void answer(InFlightCall& call, Ending ending);
-  void answer_and_settle(const std::string& id, Ending ending);
-  void cancel_call(const std::string& id, Ending ending);
+                                                                  CallOutcome ending);
+  void answer(InFlightCall& call, CallOutcome ending);
+  void answer_and_settle(const std::string& id, CallOutcome ending);
+  void cancel_call(const std::string& id, CallOutcome ending);
   void erase_if_settled(const std::string& id);
   void run_attempt(const std::string& id, std::size_t number, Attempt& attempt, std::size_t class_number,
                    double timeout);
