--- a/tests/node/node_harness.h
+++ b/tests/node/node_harness.h
@@ -3,6 +3,8 @@
 /// on loopback sockets.
 #pragma once
 
+#include <gtest/gtest.h>  // IWYU pragma: export
+
 #include "harness/connection.h"      // IWYU pragma: export
 #include "harness/deployment.h"      // IWYU pragma: export
 #include "harness/eventually.h"      // IWYU pragma: export
