--- a/src/health/outlier_detection.cpp
+++ b/src/health/outlier_detection.cpp
@@ -13,20 +13,15 @@
 constexpr int kMaxConsecutiveFailures = 4;
 // A failure rate that counts as none; without it a server would be avoided for good.
 constexpr double kNegligibleFailureRate = 0.05;
-// The failure rate from which a server is ejected.
-constexpr double kEjectionFailureRate = 0.5;
 
 }  // namespace
 
-double OutlierDetection::failure_rate(double now) const {
-  if (failure_rate_ == 0) return 0;
+double OutlierDetection::faded_rate(double now) const {
   const double half_life = kHalfLifeSeconds * (1 + consecutive_failures_);
   const double faded = failure_rate_ * std::exp2((updated_at_ - now) / half_life);
   return faded < kNegligibleFailureRate ? 0 : faded;
 }
 
-bool OutlierDetection::is_ejected(double now) const { return failure_rate(now) >= kEjectionFailureRate; }
-
 void OutlierDetection::record(double now, bool succeeded, double weight) {
   if (weight <= 0) return;
   const double before = failure_rate(now);
--- a/src/health/slow_start.cpp
+++ b/src/health/slow_start.cpp
@@ -28,12 +28,10 @@
   max_traffic_factor_ = std::min(kMaxTrafficFactor, overload_factor);
 }
 
-double SlowStartPolicy::factor(double now, const SlowStart& server, double started) const {
-  const bool started_long_ago = started == 0;
-  if ((started_long_ago && !server.was_enabled()) || duration_s_ <= 0) return 1;
+double SlowStartPolicy::warming_factor(double now, const SlowStart& server, double started) const {
   // A server may be restarted while it is disabled. Taken to have started only when it was enabled, it would
   // get less than it can do, and the others more, just when the next one is disabled.
-  const bool start_is_advertised = !started_long_ago && started > server.disabled_at_;
+  const bool start_is_advertised = started != 0 && started > server.disabled_at_;
   const double warming_since = start_is_advertised ? started : server.enabled_at_;
   const double age = std::max(0.0, now - warming_since);
   return std::min(1.0, initial_capacity_ + (1 - initial_capacity_) * age / duration_s_);
--- a/src/health/slow_start.h
+++ b/src/health/slow_start.h
@@ -51,7 +51,10 @@
 
   /// The slow-start factor: the part of its full capacity that a server is sure to have by now, 0 to 1.
   /// @param started When it last started as advertised, s; 0: long ago.
-  [[nodiscard]] double factor(double now, const SlowStart& server, double started) const;
+  [[nodiscard]] double factor(double now, const SlowStart& server, double started) const {
+    const bool started_long_ago = started == 0 && !server.was_enabled();
+    return started_long_ago || duration_s_ <= 0 ? 1 : warming_factor(now, server, started);
+  }
 
   /// Refills the token bucket of a server that is warming up and says whether it holds a token. All replicas
   /// together can overload such a server; each spends no more than the server's share of its own traffic,
@@ -59,6 +62,8 @@
   [[nodiscard]] bool has_token(double now, SlowStart& server, double started) const;
 
  private:
+  [[nodiscard]] double warming_factor(double now, const SlowStart& server, double started) const;
+
   double initial_capacity_ = 1;
   double duration_s_ = 0;
   double max_traffic_factor_ = 1;  // of a server's share of the traffic
