--- a/node/downstream/downstream_server.h
+++ b/node/downstream/downstream_server.h
@@ -10,11 +10,11 @@
 #include <utility>
 
 #include "admin/metrics.h"
+#include "dispatch/dispatcher.h"
 #include "downstream/connection_admission.h"
 #include "downstream/connection_context.h"
 #include "downstream/graceful_shutdown.h"
 #include "downstream/request_catalog.h"
-#include "dispatch/dispatcher.h"
 #include "http/memory_budget.h"
 
 namespace nettleyoke::node {
--- a/tests/lab/discovery_agent_test.cpp
+++ b/tests/lab/discovery_agent_test.cpp
@@ -6,7 +6,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-using node::Wire;
+using node::Connection;
 
 struct DiscoveryAgentTest : StandInTest {
   DiscoveryAgent agent{loop.io(), clock, checker, node_number, DiscoveryAgent::Notification::kAtOnce};
@@ -21,14 +21,14 @@
     catalog.set({name, "127.0.0.1:9", "a", status, 0});
     agent.publish(catalog);
   }
-  Wire get(const std::string& query) const {
-    Wire wire = Wire::to(agent.endpoint().port());
-    wire.write("GET /catalog/members" + query + " HTTP/1.1\r\nHost: agent\r\n\r\n");
-    return wire;
+  Connection get(const std::string& query) const {
+    Connection connection = Connection::to(agent.endpoint().port());
+    connection.write("GET /catalog/members" + query + " HTTP/1.1\r\nHost: agent\r\n\r\n");
+    return connection;
   }
   std::string listed_version() const {
-    Wire wire = get("");
-    const std::string list = wire.read_message();
+    Connection connection = get("");
+    const std::string list = connection.read_message();
     return list.substr(list.find("index") + 7, 1);
   }
 };
@@ -37,7 +37,7 @@
   const std::string all = get("").read_message();
   EXPECT_NE(all.find(R"("index":2,"snapshot":true)"), std::string::npos) << all;
   EXPECT_NE(all.find(R"("name":"s0","address":"127.0.0.1:9","zone":"a")"), std::string::npos) << all;
-  Wire watch = get("?watch=1&after=1");
+  Connection watch = get("?watch=1&after=1");
   const std::string changed = read_until(watch, "}]}");
   EXPECT_NE(changed.find(R"("index":2,"snapshot":false)"), std::string::npos) << changed;
   EXPECT_EQ(changed.find(R"("name":"s0")"), std::string::npos) << changed;
@@ -47,7 +47,7 @@
   EXPECT_NE(next.find(R"("status":"draining")"), std::string::npos) << next;
   EXPECT_NE(read_until(watch, "1\r\n\n\r\n"), "");  // an empty line, while nothing changes
   // A version that it never had: the full list.
-  Wire other = get("?watch=1&after=99");
+  Connection other = get("?watch=1&after=99");
   const std::string full = read_until(other, "}]}");
   EXPECT_NE(full.find(R"("index":3,"snapshot":true)"), std::string::npos) << full;
 }
@@ -57,7 +57,7 @@
     agent.set_down(true);
     change("s1", EndpointStatus::kRemoved);
   });
-  Wire watch = get("?watch=1&after=2");
+  Connection watch = get("?watch=1&after=2");
   loop.in_loop([this] {
     EXPECT_EQ(agent.version(), 2U);  // it learns nothing
     agent.set_down(false);
@@ -68,13 +68,13 @@
 }
 
 TEST_F(DiscoveryAgentTest, WatchStalled_ServerDrains_NoUpdateThereAndOneOnTheNextWatch) {
-  Wire stalled = get("?watch=1&after=2");
+  Connection stalled = get("?watch=1&after=2");
   read_until(stalled, "}");
   loop.in_loop([this] {
     agent.stall_watches();
     change("s0", EndpointStatus::kDraining);
   });
-  Wire next = get("?watch=1&after=2");
+  Connection next = get("?watch=1&after=2");
   EXPECT_NE(read_until(next, "}]}").find(R"("status":"draining")"), std::string::npos);
   read_until(next, "1\r\n\n\r\n");  // an empty line has come here, and there nothing at all
   ::shutdown(stalled.fd(), SHUT_RD);
--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -15,7 +15,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-using Wire = node::Connection;
+using Connection = node::Connection;
 
 Experiment one_class_experiment() {
   Experiment experiment;
@@ -102,9 +102,9 @@
   std::string admin(std::size_t which, const std::string& line) const {
     const auto where = nodes[which]->admin_endpoint();
     if (!where) return {};
-    Wire wire = Wire::to(where->port());
-    wire.write(line + "\n");
-    return wire.read_to_end();
+    Connection connection = Connection::to(where->port());
+    connection.write(line + "\n");
+    return connection.read_to_end();
   }
   // The servers that so many calls, one after the other, went to.
   std::set<std::string> used(std::size_t which, int count) {
--- a/tests/lab/lab_harness.h
+++ b/tests/lab/lab_harness.h
@@ -62,10 +62,10 @@
 }
 
 /// What comes up to and with `last`; empty where the connection ends before.
-inline std::string read_until(node::Wire& wire, const std::string& last) {
+inline std::string read_until(node::Connection& connection, const std::string& last) {
   std::string text;
   while (text.find(last) == std::string::npos) {
-    const std::string more = wire.read_some();
+    const std::string more = connection.read_some();
     if (more.empty()) return {};
     text += more;
   }
--- a/tests/lab/server_stand_in_test.cpp
+++ b/tests/lab/server_stand_in_test.cpp
@@ -6,22 +6,23 @@
 namespace nettleyoke::lab {
 namespace {
 
-using node::Wire;
+using node::Connection;
 
 struct ServerStandInTest : StandInTest {
   ServerStandIn server{
       loop.io(), clock, checker, "s0", {1, 1, 0, 1, 0}, {2, 60}, {class_spec(Idempotency::kIdempotent)}, 1};
 
   int port() const { return std::stoi(server.address().substr(std::string("127.0.0.1:").size())); }
-  Wire connect() const { return Wire::to(port()); }
+  Connection connect() const { return Connection::to(port()); }
   // The head and body of what a call brings about.
-  std::string call(Wire& wire, const std::string& id) {
+  std::string call(Connection& connection, const std::string& id) {
     loop.in_loop([&] { checker.call_sent(id, node_number, 0, 20, clock.now()); });
-    return send(wire, id) ? wire.read_message() : "";
+    return send(connection, id) ? connection.read_message() : "";
   }
-  static bool send(Wire& wire, const std::string& id) {
-    return wire.write("GET /look/1 HTTP/1.1\r\nHost: s\r\n" +
-                      (id.empty() ? "" : "X-Request-ID: " + id + "\r\n") + "X-Timeout-Ms: 20000\r\n\r\n");
+  static bool send(Connection& connection, const std::string& id) {
+    return connection.write("GET /look/1 HTTP/1.1\r\nHost: s\r\n" +
+                            (id.empty() ? "" : "X-Request-ID: " + id + "\r\n") +
+                            "X-Timeout-Ms: 20000\r\n\r\n");
   }
   AttemptOutcome outcome(const std::string& id, std::size_t attempt = 0) {
     AttemptOutcome result = AttemptOutcome::kInFlight;
@@ -38,18 +39,18 @@
 };
 
 TEST_F(ServerStandInTest, Up_RequestsArrive_AnswersAsThePagesHaveIt) {
-  Wire wire = connect();
-  EXPECT_EQ(node::body_of(call(wire, "r1")), "r1 s0");
+  Connection connection = connect();
+  EXPECT_EQ(node::body_of(call(connection, "r1")), "r1 s0");
   EXPECT_EQ(outcome("r1"), AttemptOutcome::kServed);
-  ASSERT_TRUE(send(wire, ""));
-  EXPECT_EQ(node::status_of(wire.read_message()), 404);  // no id
-  ASSERT_TRUE(send(wire, "nobody's"));
-  EXPECT_EQ(node::status_of(wire.read_message()), 400);
+  ASSERT_TRUE(send(connection, ""));
+  EXPECT_EQ(node::status_of(connection.read_message()), 404);  // no id
+  ASSERT_TRUE(send(connection, "nobody's"));
+  EXPECT_EQ(node::status_of(connection.read_message()), 400);
   loop.in_loop([this] { server.model().set_failing(true); });
-  EXPECT_EQ(node::status_of(call(wire, "r2")), 500);
+  EXPECT_EQ(node::status_of(call(connection, "r2")), 500);
   EXPECT_EQ(outcome("r2"), AttemptOutcome::kServerError);
   // More connections than it takes: rejected unprocessed.
-  Wire second = connect(), third = connect();
+  Connection second = connect(), third = connect();
   call(second, "r3");
   const std::string rejection = call(third, "r4");
   EXPECT_EQ(node::status_of(rejection), 503);
@@ -62,7 +63,7 @@
     server.model().set_hanging(true);
     for (const char* id : {"r1", "r2"}) checker.call_sent(id, node_number, 0, 20, clock.now());
   });
-  Wire first = connect(), second = connect();
+  Connection first = connect(), second = connect();
   ASSERT_TRUE(send(first, "r1"));
   ASSERT_TRUE(send(second, "r2"));
   ASSERT_TRUE(has_arrived("r1") && has_arrived("r2"));
@@ -73,7 +74,7 @@
   loop.in_loop([this] { server.crash(); });
   EXPECT_EQ(outcome("r2"), AttemptOutcome::kReset);
   EXPECT_EQ(second.read_message(), "");
-  EXPECT_FALSE(Wire::to(old_port).is_open());
+  EXPECT_FALSE(Connection::to(old_port).is_open());
 }
 
 }  // namespace
--- a/tests/node/connection_admission_test.cpp
+++ b/tests/node/connection_admission_test.cpp
@@ -64,7 +64,7 @@
   NodeProcess program(config_knowing(server.address(), discovery.address()).text());
   Connection busy = Connection::to(program.port());
   ASSERT_EQ(status_of(exchange(busy, get_request("first"))), 200);
-  ASSERT_EQ(discovery.open_connections(), 1);
+  ASSERT_TRUE(eventually([&] { return discovery.open_connections() == 1; }));
   busy.write(get_request("busy").text());
   ASSERT_TRUE(server.eventually_received(2));
   const NoMoreDescriptors none(program);
