--- a/node/node.cpp
+++ b/node/node.cpp
@@ -97,7 +97,8 @@
 }
 
 void Node::listen_for_operators() {
-  operators_listen_.start([this] { admin_server_.listen(*config_.ops); },
+  // By value: a reload before the address is free may bring a configuration without one.
+  operators_listen_.start([this, address = *config_.ops] { admin_server_.listen(address); },
                           [this](error_code error) { on_operators_listening(error); });
 }
 
