--- a/node/reload.h
+++ b/node/reload.h
@@ -9,7 +9,7 @@
 #include "clock.h"
 #include "config.h"
 #include "discovery/discovery_client.h"
-#include "dispatcher.h"
+#include "dispatch/dispatcher.h"
 #include "downstream/downstream_server.h"
 #include "upstream/upstream_client.h"
 
