--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -12,25 +12,37 @@
 sources() { find include lab node settings_json simulator_adapter src tests -name '*.cpp' -o -name '*.h'; }
 
 case $name in
-  policy_size)  # the limits of the module that is read aloud
-    awk -v most=780 -v width=110 '
-      NF { ++lines }
+  source_size)  # no source over 400 lines, no line over 110 characters; names each file that is over
+    sources | xargs awk -v most=400 -v width=110 '
+      function close_file() { if (lines > most) { printf "%s: %d lines, at most %d\n", file, lines, most; bad = 1 } }
+      FNR == 1 { close_file(); file = FILENAME; files++ }
+      { lines = FNR }
       length($0) > width { printf "%s:%d: over %d characters\n", FILENAME, FNR, width; bad = 1 }
-      END { printf "%d non-blank lines, at most %d\n", lines, most; exit bad || lines > most || lines == 0 }
-    ' src/balancer.cpp ;;
+      END { close_file(); printf "%d sources\n", files; exit bad || files == 0 }
+    ' ;;
+  policy)  # the deploy file lists every file that decides, and nothing else
+    sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d ' "' | tr ',' '\n' | sort >"$scratch/listed"
+    find src -name '*.cpp' -o -name '*.h' | sort >"$scratch/present"
+    [ -s "$scratch/present" ]
+    diff "$scratch/listed" "$scratch/present" ;;
+  terms)  # words of an earlier house style that are withdrawn; the file of disabled servers keeps its name
+    if sources | xargs grep -nE 'wirehost|Danger:|Guards against|thymewood' | grep -v '"/\?thymewood-disabled\.json"'; then
+      exit 1
+    fi
+    sources | xargs grep -q thymewood-disabled ;;  # the list of sources is one that can be looked through
   format)
     sources | xargs clang-format --dry-run -Werror ;;
   tidy)
-    cmake -B "$scratch" -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DNETTLEYOKE_BUILD_LAB=ON >/dev/null
-    # Side by side, for each reads much of Boost. The path analyzer, which takes minutes on that, sees the module
-    # and the adapter; over the node and the lab the sanitizers stand in.
-    { find node lab -name '*.cpp'; find src settings_json simulator_adapter -name '*.cpp'; } |
-      xargs -P "$(nproc)" -I{} sh -c 'case {} in node/*|lab/*) less=--checks=-clang-analyzer-* ;; *) less= ;; esac
+    cmake -B "$scratch" -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DNETTLEYOKE_BUILD_TESTS=ON >/dev/null
+    # Side by side, for each reads much of Boost or GoogleTest. The path analyzer, which takes minutes on these, sees the
+    # decision library, the settings reader and the adapter; over the others the sanitizers stand in.
+    { find node lab tests/unit tests/node tests/lab -name '*.cpp'; find src settings_json simulator_adapter -name '*.cpp'; } |
+      xargs -P "$(nproc)" -I{} sh -c 'case {} in node/*|lab/*|tests/*) less=--checks=-clang-analyzer-* ;; *) less= ;; esac
         clang-tidy -p "$0" --quiet --warnings-as-errors="*" $less {}' "$scratch" ;;
   sanitizers)
     cmake -B "$scratch" -DCMAKE_BUILD_TYPE=Debug -DNETTLEYOKE_BUILD_TESTS=ON -DNETTLEYOKE_SANITIZE=ON \
       -DNETTLEYOKE_UNIT_TESTS_ONLY=ON
-    cmake --build "$scratch" -j4
+    cmake --build "$scratch" -j"$(nproc)"
     ctest --test-dir "$scratch" --output-on-failure -j4 ;;
   consumer)  # an installed package, found and used
     cmake -B "$scratch/library" -DNETTLEYOKE_BUILD_ADAPTER=OFF -DNETTLEYOKE_BUILD_NODE=OFF
