--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -21,7 +21,7 @@
       END { close_file(); printf "%d sources\n", files; exit bad || files == 0 }
     ' ;;
   policy)  # the deploy file lists every file that decides, and nothing else
-    sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d ' "' | tr ',' '\n' | sort >"$scratch/listed"
+    sed -n '/^policy = \[/,/\]/p' deploy/balancer.toml | grep -o '"[^"]*"' | tr -d '"' | sort >"$scratch/listed"
     find src -name '*.cpp' -o -name '*.h' | sort >"$scratch/present"
     [ -s "$scratch/present" ]
     diff "$scratch/listed" "$scratch/present" ;;
