--- a/tests/node/body_pipe_test.cpp
+++ b/tests/node/body_pipe_test.cpp
@@ -10,121 +10,121 @@
 
 class BodyPipeTest : public ::testing::Test {
  protected:
-  BodyPipeTest() { budget_.set_limit(std::size_t{1} << 20); }
-  void write(const std::string& bytes) { pipe_.write(bytes.data(), bytes.size()); }
+  BodyPipeTest() { budget.set_limit(std::size_t{1} << 20); }
+  void write(const std::string& bytes) { pipe.write(bytes.data(), bytes.size()); }
   void fill() { write(std::string(BodyPipe::kCapacity, 'x')); }
   BodyPipe::Callback count() {
-    return [this] { ++calls_; };
+    return [this] { ++calls; };
   }
   /// Runs what was posted.
   int calls_after_a_turn() {
-    io_.restart();
-    io_.poll();
-    return calls_;
+    io.restart();
+    io.poll();
+    return calls;
   }
 
-  MemoryBudget budget_;
-  boost::asio::io_context io_;
-  BodyPipe pipe_{io_, budget_, std::nullopt};
-  int calls_ = 0;
+  MemoryBudget budget;
+  boost::asio::io_context io;
+  BodyPipe pipe{io, budget, std::nullopt};
+  int calls = 0;
 };
 
 TEST_F(BodyPipeTest, BytesWrittenAreTakenOnceInTheirOrder) {
   write("ab");
   write("cd");
-  EXPECT_EQ(pipe_.take(), "abcd");
-  EXPECT_EQ(pipe_.take(), "");
+  EXPECT_EQ(pipe.take(), "abcd");
+  EXPECT_EQ(pipe.take(), "");
 }
 
 TEST_F(BodyPipeTest, FinishedPipeIsCompleteOnlyWhenAllIsTaken) {
   write("ab");
-  pipe_.finish();
-  EXPECT_FALSE(pipe_.is_complete());
-  EXPECT_EQ(pipe_.take(), "ab");
-  EXPECT_TRUE(pipe_.is_complete());
+  pipe.finish();
+  EXPECT_FALSE(pipe.is_complete());
+  EXPECT_EQ(pipe.take(), "ab");
+  EXPECT_TRUE(pipe.is_complete());
 }
 
 TEST_F(BodyPipeTest, WaitingReaderIsCalledOnceWhenBytesComeAndNotFromWithinTheWrite) {
-  pipe_.when_readable(count());
+  pipe.when_readable(count());
   write("a");
   write("b");
-  EXPECT_EQ(calls_, 0);
+  EXPECT_EQ(calls, 0);
   EXPECT_EQ(calls_after_a_turn(), 1);
 }
 
 TEST_F(BodyPipeTest, WaitingReaderIsCalledWhenTheWriterAborts) {
-  pipe_.when_readable(count());
-  pipe_.abort();
-  EXPECT_TRUE(pipe_.is_aborted());
-  EXPECT_FALSE(pipe_.is_complete());
+  pipe.when_readable(count());
+  pipe.abort();
+  EXPECT_TRUE(pipe.is_aborted());
+  EXPECT_FALSE(pipe.is_complete());
   EXPECT_EQ(calls_after_a_turn(), 1);
 }
 
 TEST_F(BodyPipeTest, FullPipeCallsItsWriterWhenTheReaderTakes) {
   fill();
-  EXPECT_FALSE(pipe_.is_writable());
-  pipe_.when_writable(count());
+  EXPECT_FALSE(pipe.is_writable());
+  pipe.when_writable(count());
   EXPECT_EQ(calls_after_a_turn(), 0);
-  pipe_.take();
+  pipe.take();
   EXPECT_EQ(calls_after_a_turn(), 1);
 }
 
 TEST_F(BodyPipeTest, WaitingWriterIsCalledWhenTheReaderCloses) {
   fill();
-  pipe_.when_writable(count());
-  pipe_.when_reader_closed(count());
-  pipe_.close_reader();
-  EXPECT_TRUE(pipe_.is_reader_closed());
+  pipe.when_writable(count());
+  pipe.when_reader_closed(count());
+  pipe.close_reader();
+  EXPECT_TRUE(pipe.is_reader_closed());
   EXPECT_EQ(calls_after_a_turn(), 2);
 }
 
 TEST_F(BodyPipeTest, WriteAfterTheReaderClosedIsDropped) {
-  pipe_.close_reader();
+  pipe.close_reader();
   write("late");
-  EXPECT_EQ(pipe_.take(), "");
-  EXPECT_EQ(budget_.used(), 0U);
+  EXPECT_EQ(pipe.take(), "");
+  EXPECT_EQ(budget.used(), 0U);
 }
 
 TEST_F(BodyPipeTest, AbortAfterFinishChangesNothing) {
-  pipe_.finish();
-  pipe_.abort();
-  EXPECT_FALSE(pipe_.is_aborted());
-  EXPECT_TRUE(pipe_.is_complete());
+  pipe.finish();
+  pipe.abort();
+  EXPECT_FALSE(pipe.is_aborted());
+  EXPECT_TRUE(pipe.is_complete());
 }
 
 TEST_F(BodyPipeTest, ReaderThatClosesAfterTheFinishLeavesTheBodyComplete) {
-  pipe_.finish();
-  pipe_.close_reader();
-  EXPECT_FALSE(pipe_.is_reader_closed());
-  EXPECT_TRUE(pipe_.is_complete());
+  pipe.finish();
+  pipe.close_reader();
+  EXPECT_FALSE(pipe.is_reader_closed());
+  EXPECT_TRUE(pipe.is_complete());
 }
 
 TEST_F(BodyPipeTest, WriterThatFinishedIsNotCalledAnyMore) {
   fill();
-  pipe_.when_writable(count());
-  pipe_.when_reader_closed(count());
-  pipe_.finish();
-  pipe_.take();
+  pipe.when_writable(count());
+  pipe.when_reader_closed(count());
+  pipe.finish();
+  pipe.take();
   EXPECT_EQ(calls_after_a_turn(), 0);
 }
 
 TEST_F(BodyPipeTest, BytesInThePipeAreReservedUntilTheyAreTakenOrDropped) {
   fill();
-  EXPECT_GE(budget_.used(), BodyPipe::kCapacity);
-  pipe_.take();
-  EXPECT_EQ(budget_.used(), 0U);
+  EXPECT_GE(budget.used(), BodyPipe::kCapacity);
+  pipe.take();
+  EXPECT_EQ(budget.used(), 0U);
   fill();
-  pipe_.close_reader();
-  EXPECT_EQ(budget_.used(), 0U);
+  pipe.close_reader();
+  EXPECT_EQ(budget.used(), 0U);
 }
 
 TEST_F(BodyPipeTest, PipeCountsAsReadOnlyOnceBytesWereTaken) {
-  pipe_.take();
-  EXPECT_FALSE(pipe_.has_been_read());
+  pipe.take();
+  EXPECT_FALSE(pipe.has_been_read());
   write("a");
-  EXPECT_FALSE(pipe_.has_been_read());
-  pipe_.take();
-  EXPECT_TRUE(pipe_.has_been_read());
+  EXPECT_FALSE(pipe.has_been_read());
+  pipe.take();
+  EXPECT_TRUE(pipe.has_been_read());
 }
 
 }  // namespace
--- a/tests/node/eviction_queue_test.cpp
+++ b/tests/node/eviction_queue_test.cpp
@@ -36,22 +36,22 @@
 class EvictionQueueTest : public ::testing::Test {
  protected:
   void add_unproven(FakeConnection& connection) {
-    queue_.add(EvictionQueue::Kind::kUnproven, connection, connection.place());
+    queue.add(EvictionQueue::Kind::kUnproven, connection, connection.place());
   }
   void add_idle(FakeConnection& connection) {
-    queue_.add(EvictionQueue::Kind::kIdle, connection, connection.place());
+    queue.add(EvictionQueue::Kind::kIdle, connection, connection.place());
   }
-  EvictionQueue queue_;
+  EvictionQueue queue;
 };
 
-TEST_F(EvictionQueueTest, EmptyQueueEvictsNone) { EXPECT_FALSE(queue_.evict_one()); }
+TEST_F(EvictionQueueTest, EmptyQueueEvictsNone) { EXPECT_FALSE(queue.evict_one()); }
 
 TEST_F(EvictionQueueTest, QuietUnprovenConnectionGoesBeforeAnIdleOne) {
   FakeConnection unproven(milliseconds(500));
   FakeConnection idle(milliseconds(9000));
   add_idle(idle);
   add_unproven(unproven);
-  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(queue.evict_one());
   EXPECT_TRUE(unproven.is_evicted());
   EXPECT_FALSE(idle.is_evicted());
 }
@@ -61,7 +61,7 @@
   FakeConnection idle(milliseconds(2000));
   add_unproven(unproven);
   add_idle(idle);
-  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(queue.evict_one());
   EXPECT_TRUE(idle.is_evicted());
 }
 
@@ -70,16 +70,16 @@
   FakeConnection idle(milliseconds(1999));
   add_unproven(unproven);
   add_idle(idle);
-  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(queue.evict_one());
   EXPECT_TRUE(unproven.is_evicted());
 }
 
 TEST_F(EvictionQueueTest, BrieflyIdleConnectionGoesWhenThereIsNoOther) {
   FakeConnection idle(milliseconds(0));
   add_idle(idle);
-  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(queue.evict_one());
   EXPECT_TRUE(idle.is_evicted());
-  EXPECT_EQ(queue_.size(), 0U);
+  EXPECT_EQ(queue.size(), 0U);
 }
 
 TEST_F(EvictionQueueTest, OldestOfSeveralGoesFirst) {
@@ -87,7 +87,7 @@
   FakeConnection second(milliseconds(600));
   add_unproven(first);
   add_unproven(second);
-  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(queue.evict_one());
   EXPECT_TRUE(first.is_evicted());
   EXPECT_FALSE(second.is_evicted());
 }
@@ -98,9 +98,9 @@
   add_unproven(first);
   add_unproven(second);
   first.receive_bytes();
-  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_TRUE(queue.evict_one());
   EXPECT_TRUE(second.is_evicted());
-  EXPECT_FALSE(queue_.evict_one());
+  EXPECT_FALSE(queue.evict_one());
   EXPECT_FALSE(first.is_evicted());
 }
 
@@ -110,8 +110,8 @@
   add_unproven(moved);
   add_idle(other);
   add_idle(moved);
-  EXPECT_EQ(queue_.size(), 2U);
-  EXPECT_TRUE(queue_.evict_one());
+  EXPECT_EQ(queue.size(), 2U);
+  EXPECT_TRUE(queue.evict_one());
   EXPECT_TRUE(other.is_evicted());
 }
 
@@ -122,7 +122,7 @@
   connection.place().leave();
   connection.place().leave();
   EXPECT_FALSE(connection.place().is_taken());
-  EXPECT_FALSE(queue_.evict_one());
+  EXPECT_FALSE(queue.evict_one());
 }
 
 }  // namespace
--- a/tests/node/memory_budget_test.cpp
+++ b/tests/node/memory_budget_test.cpp
@@ -8,26 +8,26 @@
 
 class MemoryBudgetTest : public ::testing::Test {
  protected:
-  MemoryBudgetTest() { budget_.set_limit(100); }
-  MemoryBudget budget_;
+  MemoryBudgetTest() { budget.set_limit(100); }
+  MemoryBudget budget;
 };
 
 TEST_F(MemoryBudgetTest, ReservationUpToTheLimitSucceeds) {
-  MemoryBudget::Reservation reservation(budget_);
+  MemoryBudget::Reservation reservation(budget);
   EXPECT_TRUE(reservation.try_resize(100));
-  EXPECT_EQ(budget_.used(), 100U);
+  EXPECT_EQ(budget.used(), 100U);
 }
 
 TEST_F(MemoryBudgetTest, ReservationBeyondTheLimitFailsAndKeepsWhatItHad) {
-  MemoryBudget::Reservation reservation(budget_);
+  MemoryBudget::Reservation reservation(budget);
   ASSERT_TRUE(reservation.try_resize(40));
   EXPECT_FALSE(reservation.try_resize(101));
-  EXPECT_EQ(budget_.used(), 40U);
+  EXPECT_EQ(budget.used(), 40U);
 }
 
 TEST_F(MemoryBudgetTest, ReservationsOfSeveralHoldersAddUpToOneLimit) {
-  MemoryBudget::Reservation first(budget_);
-  MemoryBudget::Reservation second(budget_);
+  MemoryBudget::Reservation first(budget);
+  MemoryBudget::Reservation second(budget);
   ASSERT_TRUE(first.try_resize(60));
   EXPECT_FALSE(second.try_resize(41));
   EXPECT_TRUE(second.try_resize(40));
@@ -35,42 +35,42 @@
 
 TEST_F(MemoryBudgetTest, EndOfAReservationGivesItsBytesBack) {
   {
-    MemoryBudget::Reservation reservation(budget_);
+    MemoryBudget::Reservation reservation(budget);
     ASSERT_TRUE(reservation.try_resize(70));
   }
-  EXPECT_EQ(budget_.used(), 0U);
+  EXPECT_EQ(budget.used(), 0U);
 }
 
 TEST_F(MemoryBudgetTest, ResizeOfBytesThatAreThereAlreadyExceedsTheLimit) {
-  MemoryBudget::Reservation reservation(budget_);
+  MemoryBudget::Reservation reservation(budget);
   reservation.resize(150);
-  EXPECT_EQ(budget_.used(), 150U);
-  MemoryBudget::Reservation other(budget_);
+  EXPECT_EQ(budget.used(), 150U);
+  MemoryBudget::Reservation other(budget);
   EXPECT_FALSE(other.try_resize(1));
 }
 
 TEST_F(MemoryBudgetTest, ShrinkSucceedsWhileTheBudgetIsExceeded) {
-  MemoryBudget::Reservation reservation(budget_);
+  MemoryBudget::Reservation reservation(budget);
   reservation.resize(150);
   EXPECT_FALSE(reservation.try_resize(151));
   EXPECT_TRUE(reservation.try_resize(120));
-  EXPECT_EQ(budget_.used(), 120U);
+  EXPECT_EQ(budget.used(), 120U);
 }
 
 TEST_F(MemoryBudgetTest, LimitSetBelowWhatIsInUseRejectsGrowthOnly) {
-  MemoryBudget::Reservation reservation(budget_);
+  MemoryBudget::Reservation reservation(budget);
   ASSERT_TRUE(reservation.try_resize(80));
-  budget_.set_limit(50);
+  budget.set_limit(50);
   EXPECT_FALSE(reservation.try_resize(81));
   EXPECT_TRUE(reservation.try_resize(80));
 }
 
 TEST_F(MemoryBudgetTest, UseAtTheFractionIsNotUnderIt) {
-  MemoryBudget::Reservation reservation(budget_);
+  MemoryBudget::Reservation reservation(budget);
   reservation.resize(24);
-  EXPECT_TRUE(budget_.is_under(0.25));
+  EXPECT_TRUE(budget.is_under(0.25));
   reservation.resize(25);
-  EXPECT_FALSE(budget_.is_under(0.25));
+  EXPECT_FALSE(budget.is_under(0.25));
 }
 
 }  // namespace
--- a/tests/node/request_catalog_test.cpp
+++ b/tests/node/request_catalog_test.cpp
@@ -18,7 +18,8 @@
   return request_class;
 }
 
-const RequestCatalog kBefore{{"read", "write"}, {"acme"}, {class_with_timeout(1), class_with_timeout(2)}, 2};
+const RequestCatalog before_reload{
+    {"read", "write"}, {"acme"}, {class_with_timeout(1), class_with_timeout(2)}, 2};
 
 RequestCatalog catalog_after(const RequestCatalog& before, Names names, Settings& settings) {
   return next_catalog(before, std::move(names), {}, settings);
@@ -26,8 +27,8 @@
 
 TEST(NextCatalog, UnchangedClassesStandThereOnce) {
   Settings settings;
-  settings.classes = kBefore.classes;
-  const RequestCatalog next = catalog_after(kBefore, {"read", "write"}, settings);
+  settings.classes = before_reload.classes;
+  const RequestCatalog next = catalog_after(before_reload, {"read", "write"}, settings);
   EXPECT_EQ(next.class_names, (Names{"read", "write"}));
   EXPECT_EQ(next.in_force, 2U);
   EXPECT_EQ(settings.classes.size(), 2U);
@@ -35,14 +36,14 @@
 
 TEST(NextCatalog, ReorderedClassesCountAsUnchanged) {
   Settings settings;
-  settings.classes = {kBefore.classes[1], kBefore.classes[0]};
-  EXPECT_EQ(catalog_after(kBefore, {"write", "read"}, settings).class_names.size(), 2U);
+  settings.classes = {before_reload.classes[1], before_reload.classes[0]};
+  EXPECT_EQ(catalog_after(before_reload, {"write", "read"}, settings).class_names.size(), 2U);
 }
 
 TEST(NextCatalog, RemovedClassFollowsThoseInForceAndIsAddedToTheSettings) {
   Settings settings;
   settings.classes = {class_with_timeout(2)};
-  const RequestCatalog next = catalog_after(kBefore, {"write"}, settings);
+  const RequestCatalog next = catalog_after(before_reload, {"write"}, settings);
   EXPECT_EQ(next.class_names, (Names{"write", "read"}));
   EXPECT_EQ(next.in_force, 1U);
   ASSERT_EQ(settings.classes.size(), 2U);
@@ -52,14 +53,14 @@
 TEST(NextCatalog, ChangedClassStandsThereWithItsNewAndItsPreviousValues) {
   Settings settings;
   settings.classes = {class_with_timeout(9), class_with_timeout(2)};
-  const RequestCatalog next = catalog_after(kBefore, {"read", "write"}, settings);
+  const RequestCatalog next = catalog_after(before_reload, {"read", "write"}, settings);
   EXPECT_EQ(next.class_names, (Names{"read", "write", "read"}));
   EXPECT_EQ(next.classes[0].client_timeout, 9);
   EXPECT_EQ(next.classes[2].client_timeout, 1);
 }
 
 TEST(NextCatalog, ClassThatWasNotInForceAnyMoreIsDroppedByTheNextReload) {
-  RequestCatalog before = kBefore;
+  RequestCatalog before = before_reload;
   before.in_force = 1;
   Settings settings;
   settings.classes = {class_with_timeout(1)};
