--- a/src/balancer_impl.h
+++ b/src/balancer_impl.h
@@ -23,9 +23,9 @@
 
 namespace nettleyoke {
 
-/// Owns the parts and the open requests. What is decided, and from what, is in the parts; here is in which
-/// order they are asked. balancer.cpp handles membership and settings, request_handling.cpp the requests and
-/// attempt_results.cpp how attempts end.
+/// Owns the parts and the open requests. What is decided, and from what, is in the parts; the order in which
+/// they are asked is in this class. balancer.cpp handles membership and settings, request_handling.cpp the
+/// requests and attempt_results.cpp how attempts end.
 class Balancer::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed);
@@ -71,9 +71,7 @@
   void on(const ResponseStarted& started);
   void on(const AttemptResult& result);
   void learn_from(const RequestState& request, ServerRecord& server, const AttemptResult& result);
-  void learn_health(const RequestState& request, ServerRecord& server, const AttemptResult& result);
   void learn_latency(const RequestState& request, ServerRecord& server, const AttemptResult& result);
-  void learn_rate_limit(const RequestState& request, const AttemptResult& result, bool was_ejected);
   void detect_overload(ServerRecord& server);
   [[nodiscard]] bool are_servers_overloaded() const;
 
