--- a/node/downstream/client_connection.cpp
+++ b/node/downstream/client_connection.cpp
@@ -114,7 +114,7 @@
 }
 
 bool ClientConnection::is_first_request_expected() const {
-  return !has_sent_valid_request_ && !is_quiet_for(EvictionQueue::kUnprovenQuietPeriod);
+  return !has_sent_valid_request_ && !is_quiet_for(Evictions::kUnprovenQuietPeriod);
 }
 
 bool ClientConnection::has_unread_bytes() {
@@ -179,11 +179,11 @@
 }
 
 void ClientConnection::track_as_evictable() {
-  EvictionQueue& queue = context_->admission.eviction_queue();
+  Evictions& queue = context_->admission.eviction_queue();
   if (has_sent_valid_request_) {
-    if (!reader_.has_begun()) queue.add(EvictionQueue::Kind::kIdle, *this, eviction_place_);
+    if (!reader_.has_begun()) queue.add(Evictions::Kind::kIdle, *this, eviction_place_);
   } else if (!eviction_place_.is_taken()) {
-    queue.add(EvictionQueue::Kind::kUnproven, *this, eviction_place_);
+    queue.add(Evictions::Kind::kUnproven, *this, eviction_place_);
   }
 }
 
--- a/node/downstream/client_connection.h
+++ b/node/downstream/client_connection.h
@@ -22,10 +22,10 @@
 
 /// Notices a client that disconnects by a read, or by polling while it can't read; keeps what comes before
 /// its turn, up to a bound.
-class ClientConnection final : public EvictableConnection,
-                               public std::enable_shared_from_this<ClientConnection> {
+class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   using List = std::list<std::shared_ptr<ClientConnection>>;
+  using Evictions = EvictionQueue<ClientConnection>;
 
   /// Whether what the client asks for is served.
   enum class Admission {
@@ -42,10 +42,13 @@
   void set_position(List::iterator position) { position_ = position; }
   List::iterator position() const { return position_; }
 
-  bool is_quiet_for(Clock::Steady::duration period) const override;
-  bool has_unread_bytes() override;
-  /// A client that has begun a request is told the overload, as far as that goes without waiting.
-  void evict() override;
+  /// Whether it has sent nothing of a request for at least so long.
+  bool is_quiet_for(Clock::Steady::duration period) const;
+  /// Whether bytes of it have come that are not read yet.
+  bool has_unread_bytes();
+  /// Closes it for others. A client that has begun a request is answered with an overload, as far as that
+  /// goes without waiting.
+  void evict();
 
   /// Whether it waits for a request and nothing of one has come.
   bool is_idle() const;
@@ -135,7 +138,7 @@
   RequestReader reader_;
   ResponseWriter writer_;
   RequestAccounting accounting_;
-  EvictionQueue::Place eviction_place_;
+  Evictions::Place eviction_place_;
   List::iterator position_;
   std::size_t lingered_bytes_ = 0;
   Clock::Steady::time_point quiet_since_;  // when it was last ready for a request
--- a/node/downstream/connection_admission.h
+++ b/node/downstream/connection_admission.h
@@ -11,7 +11,6 @@
 
 #include "downstream/client_connection.h"
 #include "downstream/connection_context.h"
-#include "downstream/eviction_queue.h"
 
 namespace nettleyoke::node {
 
@@ -44,7 +43,7 @@
   /// A connection has closed; it is dropped.
   void on_connection_closed(const ClientConnection& connection);
 
-  EvictionQueue& eviction_queue() { return eviction_queue_; }
+  ClientConnection::Evictions& eviction_queue() { return eviction_queue_; }
   bool is_listening() const { return acceptor_.is_open(); }
   bool has_connections() const { return !connections_.empty(); }
   bool is_listener_inherited() const { return is_listener_inherited_; }
@@ -69,7 +68,7 @@
   boost::asio::steady_timer retry_timer_;  // after a failed accept
   Limits limits_;
   ClientConnection::List connections_;
-  EvictionQueue eviction_queue_;
+  ClientConnection::Evictions eviction_queue_;
   int reserved_descriptor_ = -1;  // -1: in use
   bool is_accept_pending_ = false;
   bool is_stopping_ = false;
--- a/tests/node/eviction_queue_test.cpp
+++ b/tests/node/eviction_queue_test.cpp
@@ -10,38 +10,38 @@
 
 using std::chrono::milliseconds;
 
-class FakeConnection final : public EvictableConnection {
+class FakeConnection {
  public:
+  using Evictions = EvictionQueue<FakeConnection>;
+
   explicit FakeConnection(milliseconds quiet_for) : quiet_for_(quiet_for) {}
-  bool is_quiet_for(std::chrono::steady_clock::duration period) const override {
-    return quiet_for_ >= period;
-  }
-  bool has_unread_bytes() override { return has_unread_bytes_; }
-  void evict() override {
+  bool is_quiet_for(std::chrono::steady_clock::duration period) const { return quiet_for_ >= period; }
+  bool has_unread_bytes() { return has_unread_bytes_; }
+  void evict() {
     is_evicted_ = true;
     place_.leave();
   }
 
   void receive_bytes() { has_unread_bytes_ = true; }
   bool is_evicted() const { return is_evicted_; }
-  EvictionQueue::Place& place() { return place_; }
+  Evictions::Place& place() { return place_; }
 
  private:
   milliseconds quiet_for_;
   bool has_unread_bytes_ = false;
   bool is_evicted_ = false;
-  EvictionQueue::Place place_;
+  Evictions::Place place_;
 };
 
 class EvictionQueueTest : public ::testing::Test {
  protected:
   void add_unproven(FakeConnection& connection) {
-    queue.add(EvictionQueue::Kind::kUnproven, connection, connection.place());
+    queue.add(FakeConnection::Evictions::Kind::kUnproven, connection, connection.place());
   }
   void add_idle(FakeConnection& connection) {
-    queue.add(EvictionQueue::Kind::kIdle, connection, connection.place());
+    queue.add(FakeConnection::Evictions::Kind::kIdle, connection, connection.place());
   }
-  EvictionQueue queue;
+  FakeConnection::Evictions queue;
 };
 
 TEST_F(EvictionQueueTest, EmptyQueueEvictsNone) { EXPECT_FALSE(queue.evict_one()); }
