--- a/tests/node/eviction_queue_test.cpp
+++ b/tests/node/eviction_queue_test.cpp
@@ -16,7 +16,7 @@
 
   explicit FakeConnection(milliseconds quiet_for) : quiet_for_(quiet_for) {}
   bool is_quiet_for(std::chrono::steady_clock::duration period) const { return quiet_for_ >= period; }
-  bool has_unread_bytes() { return has_unread_bytes_; }
+  bool has_unread_bytes() const { return has_unread_bytes_; }
   void evict() {
     is_evicted_ = true;
     place_.leave();
