--- a/lab/checks/invariant_checker.h
+++ b/lab/checks/invariant_checker.h
@@ -1,6 +1,6 @@
 /// @file
 /// What happened to every call, as clients, servers and discovery saw it, and the rules that nodes must keep.
-/// The checker is told of events and compares them; it opens no socket and starts no timer.
+/// The checker is notified of events and compares them; it opens no socket and starts no timer.
 #pragma once
 
 #include <cstdint>
--- a/lab/load/http_client.cpp
+++ b/lab/load/http_client.cpp
@@ -19,8 +19,8 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using boost::system::error_code;
+using node::cancel_timer;
 using node::Clock;
-using node::halt;
 using Tcp = asio::ip::tcp;
 
 std::string text_of(const HttpClient::Request& request) {
@@ -69,7 +69,7 @@
   void detach() {
     owner_ = nullptr;
     on_response_ = nullptr;
-    halt(timer_);
+    cancel_timer(timer_);
     net::close(socket_);
   }
 
@@ -118,7 +118,7 @@
     response.body = parser_->get().body();
     const bool keep_alive = parser_->get().keep_alive();
     const OnResponse on_response = std::exchange(on_response_, nullptr);
-    halt(timer_);
+    cancel_timer(timer_);
     if (keep_alive) {
       read();
     } else {
--- a/lab/stand_ins/server_connection.cpp
+++ b/lab/stand_ins/server_connection.cpp
@@ -12,8 +12,8 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using boost::system::error_code;
+using node::cancel_timer;
 using node::Clock;
-using node::halt;
 
 constexpr const char* kReason = "X";  // nodes don't read it
 constexpr const char* kNotProcessed = "X-Not-Processed: 1\r\n";
@@ -63,7 +63,7 @@
 void ServerStandIn::Connection::detach() {
   owner_ = nullptr;
   is_processing_ = false;
-  halt(idle_timer_);
+  cancel_timer(idle_timer_);
   net::close(socket_);
 }
 
@@ -100,7 +100,7 @@
 }
 
 void ServerStandIn::Connection::on_request(const HttpRequest& request) {
-  halt(idle_timer_);
+  cancel_timer(idle_timer_);
   InvariantChecker& checker = owner_->checker_;
   if (is_processing_) {
     return checker.add_violation(Rule::kOneRequestPerConnection,
--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -39,7 +39,7 @@
 
 void AdminConnection::close() {
   if (state_ == State::kDetached) return;
-  halt(deadline_);
+  cancel_timer(deadline_);
   error_code ignored;
   socket_.close(ignored);
   const std::function<void()> closed = std::move(callbacks_.closed);
--- a/node/clock.h
+++ b/node/clock.h
@@ -47,7 +47,7 @@
 ///
 /// A handler whose timer has expired may be on its way already: it has to compare the timer's expiry, which
 /// is never reached after this call, with the time.
-inline void halt(boost::asio::steady_timer& timer) {
+inline void cancel_timer(boost::asio::steady_timer& timer) {
   boost::system::error_code ignored;
   timer.expires_at(Clock::Steady::time_point::max(), ignored);
 }
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -52,7 +52,7 @@
   list_version_ = 0;
   following_move_until_ = Clock::Steady::now() + kMoveGracePeriod;
   is_pausing_ = false;
-  halt(move_retry_);
+  cancel_timer(move_retry_);
   open();
 }
 
--- a/node/discovery/watch_connection.cpp
+++ b/node/discovery/watch_connection.cpp
@@ -165,7 +165,7 @@
 void WatchConnection::close() {
   state_ = State::kEnded;
   error_code ignored;
-  halt(deadline_);
+  cancel_timer(deadline_);
   socket_.close(ignored);
 }
 
--- a/node/dispatch/request_log.h
+++ b/node/dispatch/request_log.h
@@ -21,7 +21,7 @@
   void add_answer(FinalAnswer::Kind kind, double elapsed);
   void add_client_disconnect(double elapsed);
 
-  /// Whether anything about the request went badly, so that it is worth a line.
+  /// Whether anything about the request went badly, so that it is logged.
   bool went_badly() const { return went_badly_; }
   const std::string& text() const { return text_; }
 
--- a/node/downstream/client_connection.cpp
+++ b/node/downstream/client_connection.cpp
@@ -81,8 +81,8 @@
   const bool is_answer_due = state_ == State::kAwaitingAnswer;
   enter(State::kClosed);
   eviction_place_.leave();
-  halt(deadline_);
-  halt(disconnect_poll_);
+  cancel_timer(deadline_);
+  cancel_timer(disconnect_poll_);
   error_code ignored;
   socket_.close(ignored);
   abort_bodies();
@@ -175,7 +175,7 @@
     track_as_evictable();
     if (!reader_.has_begun()) reader_.shrink_read_ahead();
   }
-  read();  // the request may have come out of what was read ahead, and made room
+  read();  // the request may have come out of what was read ahead, and freed buffer space
 }
 
 void ClientConnection::track_as_evictable() {
@@ -241,7 +241,8 @@
 }
 
 // What a client wrote before it left is read before its end is, and may have waited for long: in the
-// listener's queue while there was no room, or in a loop that runs late. It would be forwarded for nobody.
+// listener's queue while there was no capacity, or in a loop that runs late. It would be forwarded for
+// nobody.
 bool ClientConnection::is_abandoned() {
   if (state_ != State::kAwaitingAnswer) return true;
   if (!has_disconnected()) return false;
@@ -252,7 +253,7 @@
   return true;
 }
 
-// Up to the end of one request, or as far as there is room for its body.
+// Up to the end of one request, or as far as its body can be taken in.
 void ClientConnection::parse_read_ahead() {
   while ((state_ == State::kReading || reader_.has_writable_upload()) && reader_.has_read_ahead()) {
     if (reader_.mark_begun()) on_request_begun();
@@ -319,7 +320,7 @@
 
 // The server is slower than the client, whose deadline rests: it can't help it.
 void ClientConnection::wait_for_upload() {
-  halt(deadline_);
+  cancel_timer(deadline_);
   reader_.upload()->when_writable([weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self || self->context_ == nullptr || !self->reader_.is_uploading()) return;
@@ -332,7 +333,7 @@
 
 void ClientConnection::finish_upload() {
   if (has_disconnected()) return close();  // so that the server never has the complete request
-  halt(deadline_);
+  cancel_timer(deadline_);
   reader_.finish_upload();
   accounting_.start(context_->metrics);
   context_->dispatcher.on_body_complete(request_id_);
--- a/node/downstream/client_connection.h
+++ b/node/downstream/client_connection.h
@@ -46,7 +46,7 @@
   bool is_quiet_for(Clock::Steady::duration period) const;
   /// Whether bytes of it have come that are not read yet.
   bool has_unread_bytes();
-  /// Closes it for others. A client that has begun a request is answered with an overload, as far as that
+  /// Closes it for others. A client that has begun a request is sent an overload answer, as far as that
   /// goes without waiting.
   void evict();
 
@@ -130,11 +130,11 @@
   State state_ = State::kReading;
   PendingRead pending_read_ = PendingRead::kNone;
   bool is_polling_disconnect_ = false;
-  bool is_disconnected_ = false;         // the client has closed its side
-  bool has_sent_valid_request_ = false;  // proven
-  bool is_keep_alive_ = true;            // may go on after the answer
-  bool is_pause_due_ = false;            // after the answer
-  bool is_request_incomplete_ = false;   // the answer began before the request's last byte
+  bool is_disconnected_ = false;  // the client has closed its side
+  bool has_sent_valid_request_ = false;
+  bool is_keep_alive_ = true;           // may go on after the answer
+  bool is_pause_due_ = false;           // after the answer
+  bool is_request_incomplete_ = false;  // the answer began before the request's last byte
   RequestReader reader_;
   ResponseWriter writer_;
   RequestAccounting accounting_;
--- a/node/downstream/client_connection_requests.cpp
+++ b/node/downstream/client_connection_requests.cpp
@@ -81,7 +81,7 @@
   };
   enter(State::kAwaitingAnswer);
   eviction_place_.leave();
-  if (!reader_.is_uploading()) halt(deadline_);
+  if (!reader_.is_uploading()) cancel_timer(deadline_);
   context_->dispatcher.accept(std::move(event), {forwarded, &forwarded->outgoing},
                               [weak = weak_from_this()](FinalAnswer&& answer) {
                                 if (const auto self = weak.lock()) self->on_answer(std::move(answer));
@@ -94,7 +94,7 @@
   if (state_ != State::kAwaitingAnswer || context_ == nullptr) return;
   switch (answer.kind) {
     case FinalAnswer::Kind::kServed:
-      drop_hop_by_hop(answer.response);
+      remove_hop_by_hop_fields(answer.response);
       if (answer.body) return relay(std::move(answer));
       return respond(std::move(answer.response));
     case FinalAnswer::Kind::kRejected:
@@ -175,7 +175,7 @@
   const ResponseWriter::Chunk chunk = writer_.next_chunk();
   if (chunk == ResponseWriter::Chunk::kAborted) return abort_response();
   if (chunk == ResponseWriter::Chunk::kNotYet) {
-    halt(deadline_);  // it is the server that is waited for
+    cancel_timer(deadline_);  // it is the server that is waited for
     return writer_.when_chunk_available([weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->relay_next({});
     });
--- a/node/downstream/forwarded_request.cpp
+++ b/node/downstream/forwarded_request.cpp
@@ -14,7 +14,7 @@
 }
 
 void rewrite_for_server(HttpRequest& request, const BodyPipe* upload) {
-  drop_hop_by_hop(request);
+  remove_hop_by_hop_fields(request);
   request.erase("X-Timeout-Ms");
   if (upload == nullptr) {
     request.prepare_payload();
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -117,14 +117,15 @@
   const bool is_reserved = reservation_.try_resize(read_ahead_.capacity() + body_.capacity());
   if (is_reserved && body_.size() <= body_buffer_limit()) return BodyPlacement::kBuffered;
   if (is_complete()) return is_reserved ? BodyPlacement::kBuffered : BodyPlacement::kRejected;
-  return body_.size() <= kWholeBody ? BodyPlacement::kRejected : BodyPlacement::kStreamed;
+  return body_.size() <= kMaxUnstreamedBodyBytes ? BodyPlacement::kRejected : BodyPlacement::kStreamed;
 }
 
 std::size_t RequestReader::body_buffer_limit() const {
   const bool is_slow =
       static_cast<double>(received_body_bytes_) < kFastBodyBytesPerSecond * seconds_since_head();
-  return budget_.is_under(is_slow ? kSlowBodyMemoryFraction : kFastBodyMemoryFraction) ? kMaxBufferedBodyBytes
-                                                                                       : kWholeBody;
+  return budget_.is_under(is_slow ? kSlowBodyMemoryFraction : kFastBodyMemoryFraction)
+             ? kMaxBufferedBodyBytes
+             : kMaxUnstreamedBodyBytes;
 }
 
 void RequestReader::start_upload(boost::asio::io_context& io) {
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -55,7 +55,7 @@
   /// Takes over the first bytes of the receive buffer.
   void append_received(std::size_t size);
   bool has_read_ahead() const { return read_ahead_.size() > 0; }
-  /// Whether there is room for one more read, also in the stream that a body goes to.
+  /// Whether one more read can be taken in, also in the stream that a body goes to.
   bool has_room_for_read() const;
   /// Drops what was read ahead, and its memory.
   void discard_read_ahead();
@@ -101,7 +101,7 @@
   /// Where the rest of the body goes until all of it has come; null where none is streamed.
   const std::shared_ptr<BodyPipe>& upload() const { return upload_; }
   bool is_uploading() const { return upload_ != nullptr; }
-  /// Whether a body is streamed and its pipe has room.
+  /// Whether a body is streamed and its pipe is writable.
   bool has_writable_upload() const { return upload_ && upload_->is_writable(); }
   /// The body's last byte has been streamed.
   void finish_upload() { std::exchange(upload_, nullptr)->finish(); }
--- a/node/http/message.h
+++ b/node/http/message.h
@@ -20,7 +20,7 @@
 /// Bytes of the head of a request or a response.
 constexpr std::uint32_t kHeaderLimit = 16 * 1024;
 /// Bytes of a body that is always passed on complete; a larger one may be streamed.
-constexpr std::uint64_t kWholeBody = std::uint64_t{64} * 1024;
+constexpr std::uint64_t kMaxUnstreamedBodyBytes = std::uint64_t{64} * 1024;
 /// Bytes of the body of a request or a response.
 constexpr std::uint64_t kBodyLimit = std::uint64_t{64} * 1024 * 1024;
 
@@ -40,7 +40,7 @@
 
 /// Erases the fields that belong to one connection and not to the message.
 template <typename Fields>
-void drop_hop_by_hop(Fields& fields) {
+void remove_hop_by_hop_fields(Fields& fields) {
   namespace http = boost::beast::http;
   for (const http::field name :
        {http::field::connection, http::field::keep_alive, http::field::proxy_connection, http::field::te,
--- a/node/listen_retry.h
+++ b/node/listen_retry.h
@@ -1,6 +1,6 @@
 /// Opens a listening socket, again and again while its address is in use.
 ///
-/// A node that is told to end and started anew at once finds its own address taken by the process that serves
+/// A node that is stopped and started again at once finds its own address taken by the process that serves
 /// to its end, and ending for that would count as a crash.
 #pragma once
 
--- a/node/upstream/response_reader.cpp
+++ b/node/upstream/response_reader.cpp
@@ -46,8 +46,8 @@
 }
 
 bool ResponseReader::is_large() const {
-  return parser_->is_header_done() &&
-         (body_.size() > kWholeBody || parser_->content_length().value_or(0) > kWholeBody);
+  return parser_->is_header_done() && (body_.size() > kMaxUnstreamedBodyBytes ||
+                                       parser_->content_length().value_or(0) > kMaxUnstreamedBodyBytes);
 }
 
 bool ResponseReader::is_making_progress(double seconds) const {
--- a/node/upstream/server_connection.cpp
+++ b/node/upstream/server_connection.cpp
@@ -35,7 +35,7 @@
 bool ServerConnection::finish_connecting() {
   if (state_ != State::kConnecting) return false;
   state_ = State::kInUse;
-  halt(timer_);
+  cancel_timer(timer_);
   return true;
 }
 
@@ -62,14 +62,14 @@
 void ServerConnection::stop_idling() {
   state_ = State::kInUse;
   idle_generation_ += 1;
-  halt(timer_);
+  cancel_timer(timer_);
   error_code ignored;
   socket_.cancel(ignored);  // the wait for the server's close
 }
 
 void ServerConnection::close() {
   state_ = State::kClosed;
-  halt(timer_);
+  cancel_timer(timer_);
   error_code ignored;
   socket_.close(ignored);
 }
--- a/node/upstream/upstream_attempt.cpp
+++ b/node/upstream/upstream_attempt.cpp
@@ -107,7 +107,7 @@
 }
 
 void UpstreamAttempt::wait_for_body() {
-  halt(progress_timer_);
+  cancel_timer(progress_timer_);
   writer_.when_body_readable([self = shared_from_this()] {
     if (!self->is_over()) self->write();
   });
@@ -140,7 +140,7 @@
   state_ = State::kAwaitingResponse;
   context_->metrics.attempt_sent();
   if (writer_.is_streamed()) {
-    halt(progress_timer_);
+    cancel_timer(progress_timer_);
     sent_at_ = Clock::Steady::now();
     start_timeout();
   }
@@ -227,7 +227,7 @@
 
 // From here on the response is passed on as it arrives.
 void UpstreamAttempt::start_streaming() {
-  halt(timeout_timer_);
+  cancel_timer(timeout_timer_);
   state_ = State::kStreamingResponse;
   reader_.start_streaming(context_->io, context_->budget);
   reader_.pipe()->when_reader_closed([weak = weak_from_this()] {
@@ -239,7 +239,7 @@
 }
 
 void UpstreamAttempt::wait_for_reader() {
-  halt(progress_timer_);  // it is the client that is waited for now, if anyone
+  cancel_timer(progress_timer_);  // it is the client that is waited for now, if anyone
   reader_.pipe()->when_writable([self = shared_from_this()] {
     if (self->is_over()) return;
     if (self->reader_.pipe()->is_reader_closed()) {
@@ -253,7 +253,7 @@
 void UpstreamAttempt::on_response_complete() {
   if (reader_.is_interim()) {
     if (!reader_.accept_interim()) return finish(Outcome::kUnknown, ConnectionReuse::kClose);
-    halt(progress_timer_);  // the response itself has not begun
+    cancel_timer(progress_timer_);  // the response itself has not begun
     return read_response();
   }
   if (reader_.is_cut_short()) return finish(Outcome::kReset, ConnectionReuse::kClose);
@@ -271,8 +271,8 @@
 // it.
 void UpstreamAttempt::finish(Outcome outcome, ConnectionReuse reuse) {
   if (std::exchange(state_, State::kEnded) == State::kEnded) return;
-  halt(timeout_timer_);
-  halt(progress_timer_);
+  cancel_timer(timeout_timer_);
+  cancel_timer(progress_timer_);
   if (pool_) pool_->leave_queue(*this);
   if (const std::shared_ptr<ServerConnection> connection = std::exchange(connection_, nullptr)) {
     if (reuse == ConnectionReuse::kKeep) {
