--- /dev/null
+++ b/tests/node/body_pipe_test.cpp
@@ -0,0 +1,131 @@
+// A body between two connections, without the connections.
+#include "http/body_pipe.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace nettleyoke::node {
+namespace {
+
+class BodyPipeTest : public ::testing::Test {
+ protected:
+  BodyPipeTest() { budget.set_limit(std::size_t{1} << 20); }
+  void write(const std::string& bytes) { pipe.write(bytes.data(), bytes.size()); }
+  void fill() { write(std::string(BodyPipe::kCapacity, 'x')); }
+  BodyPipe::Callback count() {
+    return [this] { ++calls; };
+  }
+  /// Runs what was posted.
+  int calls_after_a_turn() {
+    io.restart();
+    io.poll();
+    return calls;
+  }
+
+  MemoryBudget budget;
+  boost::asio::io_context io;
+  BodyPipe pipe{io, budget, std::nullopt};
+  int calls = 0;
+};
+
+TEST_F(BodyPipeTest, BytesWrittenAreTakenOnceInTheirOrder) {
+  write("ab");
+  write("cd");
+  EXPECT_EQ(pipe.take(), "abcd");
+  EXPECT_EQ(pipe.take(), "");
+}
+
+TEST_F(BodyPipeTest, FinishedPipeIsCompleteOnlyWhenAllIsTaken) {
+  write("ab");
+  pipe.finish();
+  EXPECT_FALSE(pipe.is_complete());
+  EXPECT_EQ(pipe.take(), "ab");
+  EXPECT_TRUE(pipe.is_complete());
+}
+
+TEST_F(BodyPipeTest, WaitingReaderIsCalledOnceWhenBytesComeAndNotFromWithinTheWrite) {
+  pipe.when_readable(count());
+  write("a");
+  write("b");
+  EXPECT_EQ(calls, 0);
+  EXPECT_EQ(calls_after_a_turn(), 1);
+}
+
+TEST_F(BodyPipeTest, WaitingReaderIsCalledWhenTheWriterAborts) {
+  pipe.when_readable(count());
+  pipe.abort();
+  EXPECT_TRUE(pipe.is_aborted());
+  EXPECT_FALSE(pipe.is_complete());
+  EXPECT_EQ(calls_after_a_turn(), 1);
+}
+
+TEST_F(BodyPipeTest, FullPipeCallsItsWriterWhenTheReaderTakes) {
+  fill();
+  EXPECT_FALSE(pipe.is_writable());
+  pipe.when_writable(count());
+  EXPECT_EQ(calls_after_a_turn(), 0);
+  pipe.take();
+  EXPECT_EQ(calls_after_a_turn(), 1);
+}
+
+TEST_F(BodyPipeTest, WaitingWriterIsCalledWhenTheReaderCloses) {
+  fill();
+  pipe.when_writable(count());
+  pipe.when_reader_closed(count());
+  pipe.close_reader();
+  EXPECT_TRUE(pipe.is_reader_closed());
+  EXPECT_EQ(calls_after_a_turn(), 2);
+}
+
+TEST_F(BodyPipeTest, WriteAfterTheReaderClosedIsDropped) {
+  pipe.close_reader();
+  write("late");
+  EXPECT_EQ(pipe.take(), "");
+  EXPECT_EQ(budget.used(), 0U);
+}
+
+TEST_F(BodyPipeTest, AbortAfterFinishChangesNothing) {
+  pipe.finish();
+  pipe.abort();
+  EXPECT_FALSE(pipe.is_aborted());
+  EXPECT_TRUE(pipe.is_complete());
+}
+
+TEST_F(BodyPipeTest, ReaderThatClosesAfterTheFinishLeavesTheBodyComplete) {
+  pipe.finish();
+  pipe.close_reader();
+  EXPECT_FALSE(pipe.is_reader_closed());
+  EXPECT_TRUE(pipe.is_complete());
+}
+
+TEST_F(BodyPipeTest, WriterThatFinishedIsNotCalledAnyMore) {
+  fill();
+  pipe.when_writable(count());
+  pipe.when_reader_closed(count());
+  pipe.finish();
+  pipe.take();
+  EXPECT_EQ(calls_after_a_turn(), 0);
+}
+
+TEST_F(BodyPipeTest, BytesInThePipeAreReservedUntilTheyAreTakenOrDropped) {
+  fill();
+  EXPECT_GE(budget.used(), BodyPipe::kCapacity);
+  pipe.take();
+  EXPECT_EQ(budget.used(), 0U);
+  fill();
+  pipe.close_reader();
+  EXPECT_EQ(budget.used(), 0U);
+}
+
+TEST_F(BodyPipeTest, PipeCountsAsReadOnlyOnceBytesWereTaken) {
+  pipe.take();
+  EXPECT_FALSE(pipe.has_been_read());
+  write("a");
+  EXPECT_FALSE(pipe.has_been_read());
+  pipe.take();
+  EXPECT_TRUE(pipe.has_been_read());
+}
+
+}  // namespace
+}  // namespace nettleyoke::node
