--- a/include/nettleyoke/actions.h
+++ b/include/nettleyoke/actions.h
@@ -1,5 +1,5 @@
 /// @file
-/// Actions: what a Balancer asks its host to do.
+/// Actions: what a Balancer tells its host to do.
 #pragma once
 
 #include <cstdint>
@@ -9,46 +9,45 @@
 
 namespace nettleyoke {
 
-/// Starts an attempt. A request's attempts are numbered 0, 1, 2 ... in the order of their StartAttempt
-/// actions.
+/// Sends an attempt to a server. The attempts of a request are numbered 0, 1, 2 ... in the order of their
+/// StartAttempt actions.
 struct StartAttempt {
-  std::string id;
-  std::string server;
-  double timeout = 0;  ///< s that this replica waits for the answer.
-  double deadline =
-      0;  ///< s until the answer is of no use: passed on to the server, for the tiers behind it.
-  /// s within which its last byte has to be written, or it is not sent at all: the servers drop duplicates of
-  /// it no longer.
+  std::string id;       ///< Of the request; the same in all actions.
+  std::string server;   ///< Address of the server.
+  double timeout = 0;   ///< s that this replica waits for the response.
+  double deadline = 0;  ///< s until the response is worthless; sent along for the tiers behind the server.
+  /// s within which the last byte of the request must be written; otherwise the attempt must not be sent,
+  /// because the servers no longer drop its duplicates. Empty: no limit.
   std::optional<double> send_within = {};
 };
 
-/// Final answer: rejected; a retry by the client is harmless.
+/// Final answer: the request is rejected. A retry by the client is harmless.
 struct Reject {
   std::string id;
-  double retry_after = 0;  ///< s; 0: no advice.
+  double retry_after = 0;  ///< Value of Retry-After, s; 0: none is sent.
 };
 
-/// Final answer: failed; nothing is promised.
+/// Final answer: the request failed. It may have run, so that a retry by the client may repeat its effects.
 struct Fail {
   std::string id;
 };
 
-/// Stops waiting for one attempt.
+/// Cancels one attempt.
 struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
 
-/// Asks for a TimerFired event.
+/// Sets a timer, which ends with a TimerFired event of the same token.
 struct SetTimer {
   double due_at = 0;  ///< Time of the host's clock, s.
   std::uint64_t token = 0;
 };
 
-/// Asks for the membership changes from now on.
+/// Starts to watch the membership: its changes arrive as MembershipUpdate events.
 struct WatchMembership {};
 
-/// A line for the host's log.
+/// Writes a line to the host's log.
 struct LogLine {
   std::string text;
 };
--- a/include/nettleyoke/balancer.h
+++ b/include/nettleyoke/balancer.h
@@ -1,7 +1,7 @@
 /// @file
-/// The decisions of a load balancer for services that call services.
+/// The decisions of a load balancer between services.
 ///
-/// A Balancer is one replica of the load balancer. It is notified of events and returns actions. It has no
+/// A Balancer is one replica of the load balancer. It receives events and returns actions. It has no
 /// clock, no I/O, no threads and no globals: the same settings, seed and events always give the same actions.
 /// All times are seconds (double) on the host's clock, which may start anywhere but never runs backwards; all
 /// durations are seconds.
@@ -18,19 +18,19 @@
 
 namespace nettleyoke {
 
-/// What can be observed of one tenant's admission.
+/// Admission of one tenant's requests at this replica.
 struct TenantStatistics {
-  double rate_limit = 0;          ///< Learned limit, calls per second.
-  double suppression_factor = 0;  ///< 0: all admitted, 1: all declined.
-  double total = 0;               ///< Calls in the sliding window.
-  double declined = 0;            ///< Of these, declined.
+  double rate_limit = 0;          ///< Learned limit, requests per second.
+  double suppression_factor = 0;  ///< Fraction of requests that is rejected, 0 to 1.
+  double total = 0;               ///< Requests in the sliding window.
+  double rejected = 0;            ///< Rejected requests among them.
 };
 
-/// One replica of the load balancer. Not safe for use by several threads at once.
+/// One replica of the load balancer. Not thread-safe.
 class Balancer {
  public:
-  /// @param seed Of the random draws.
-  /// @throws std::invalid_argument, naming the field, when the settings cannot be used.
+  /// @param seed Seed of the random draws.
+  /// @throws std::invalid_argument that names the field, if a setting is out of range.
   Balancer(const Settings& settings, std::uint64_t seed);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
@@ -38,16 +38,17 @@
 
   /// Handles one event.
   /// @param now Time of the host's clock, s; not before that of the last event.
-  /// @param actions What is to be done is appended to it, in order.
-  /// @throws std::invalid_argument for a SettingsReplaced event whose settings cannot be used; nothing is
-  /// changed.
+  /// @param actions The actions to execute are appended to it, in order.
+  /// @throws std::invalid_argument if a setting of a SettingsReplaced event is out of range; the balancer
+  /// then keeps its settings.
   void handle(double now, const Event& event, std::vector<Action>& actions);
 
-  /// For metrics; changes nothing. An index out of range stands for traffic without a tenant.
+  /// Admission statistics, for metrics.
+  /// @param tenant Index into Settings::tenants; an index out of range stands for traffic without a tenant.
   [[nodiscard]] TenantStatistics tenant(double now, std::size_t tenant) const;
-  /// How many servers are tracked: the listed ones, and removed ones that open requests still refer to.
+  /// Number of tracked servers: the listed ones, and removed ones that open requests still refer to.
   [[nodiscard]] std::size_t servers() const;
-  /// Listed servers that get no new calls now: administratively disabled, or ejected for their failures.
+  /// Number of listed servers that are administratively disabled or ejected.
   [[nodiscard]] std::size_t unavailable_servers(double now) const;
 
  private:
@@ -55,11 +56,15 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// The part of calls to decline, 0 to 1, for a limit and the two rates of the sliding window (calls per
-/// second).
+/// The fraction of requests to reject, 0 to 1.
+/// @param rate_limit Of the tenant, requests per second.
+/// @param window_rate Rate over the whole sliding window, requests per second.
+/// @param last_second_rate Rate over the last second, requests per second.
 double suppression_factor(double rate_limit, double window_rate, double last_second_rate);
 
-/// The positions, out of `servers` in a fixed order, that replica `replica_index` of `replica_count` uses.
+/// The subset of one replica, as positions in a list of servers that all replicas sort alike.
+/// @param servers Number of servers in the list.
+/// @param size Size of the subset; all servers if there are fewer.
 std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
                                    std::size_t size);
 
--- a/include/nettleyoke/events.h
+++ b/include/nettleyoke/events.h
@@ -1,5 +1,5 @@
 /// @file
-/// Events: what a Balancer is notified of.
+/// Events: what the host reports to a Balancer.
 #pragma once
 
 #include <cstddef>
@@ -13,99 +13,101 @@
 
 namespace nettleyoke {
 
-/// The replica starts: the first event, so that it can ask for what it needs.
+/// The replica has started. This is the first event; a replica that must watch the membership responds
+/// with WatchMembership.
 struct Started {};
 
-/// A client's request wants a server.
+/// A request from a client needs a server.
 struct Request {
-  std::string id;
+  std::string id;                 ///< Unique among the open requests.
   std::size_t tenant = 0;         ///< Index into Settings::tenants.
   std::size_t request_class = 0;  ///< Index into Settings::classes.
-  double time_left = 0;           ///< s until the client gives up.
+  double time_left = 0;           ///< s until the client times out.
   std::optional<double> work;     ///< Announced work, s on a standard core.
-  bool is_client_retry = false;   ///< The client marked it as a retry of its own.
-  bool body_in_progress = false;  ///< Its body is still arriving; RequestBodyComplete reports the last byte.
+  bool is_client_retry = false;   ///< The client marked it as a client retry.
+  bool body_in_progress = false;  ///< The body is still arriving; RequestBodyComplete reports its last byte.
 };
 
-/// The last byte of a request has arrived. Its time runs from here, and no server has begun it before.
+/// The last byte of a request's body has arrived. Its time limit and the latencies of its attempts count from
+/// now, because no server can process the request earlier.
 struct RequestBodyComplete {
   std::string id;
 };
 
 /// How an attempt ended.
 enum class Outcome {
-  kSucceeded,      ///< Answered; the answer is the client's.
-  kServerError,    ///< The server answered with an error.
-  kRejected,       ///< Rejected unprocessed: the server is full or draining.
-  kTimedOut,       ///< No answer in time.
+  kSucceeded,      ///< The server sent a response for the client.
+  kServerError,    ///< The server responded with an error.
+  kRejected,       ///< The server rejected it unprocessed: it is full or draining.
+  kTimedOut,       ///< No response before the timeout.
   kConnectFailed,  ///< No connection was established.
   kReset,          ///< The connection broke while the attempt was in flight.
-  kCancelled,      ///< Withdrawn by CancelAttempt.
-  kNotSent,        ///< Never left this replica.
-  kUnknown         ///< Anything else: it may have run.
+  kCancelled,      ///< Cancelled by CancelAttempt.
+  kNotSent,        ///< It was never sent.
+  kUnknown         ///< Anything else. It may have run.
 };
 
-/// An attempt with a streamed answer has begun to answer; the client owns the answer from here. Its server
-/// has done the work, so that the attempt no longer counts as in flight.
+/// The response of an attempt has started to arrive and is streamed to the client, so that the request can no
+/// longer be retried. The server has done the work: the attempt no longer counts as in flight.
 struct ResponseStarted {
   std::string id;
   int attempt = 0;
-  double elapsed = 0;  ///< s since it was sent.
+  double elapsed = 0;  ///< s since the attempt was sent.
 };
 
-/// An attempt has ended. Each StartAttempt gets exactly one.
+/// An attempt has ended. Each StartAttempt leads to exactly one result.
 struct AttemptResult {
   std::string id;
   int attempt = 0;
   Outcome outcome = Outcome::kUnknown;
-  double elapsed = 0;              ///< s since it was sent.
-  bool request_completed = false;  ///< The request needs no further answer.
-  bool body_consumed = false;      ///< The request can't be sent again: a part of its body is gone.
+  double elapsed = 0;              ///< s since the attempt was sent.
+  bool request_completed = false;  ///< The client needs no further attempt and no other final answer.
+  bool body_consumed = false;  ///< The request cannot be sent again: a part of its body is no longer held.
 };
 
-/// The client disconnected, or its time is up; no answer is owed any more.
+/// The client disconnected or timed out. The request needs no final answer any more.
 struct RequestCancelled {
   std::string id;
 };
 
-/// The state that discovery reports of a server.
+/// The state of a server in discovery.
 enum class ServerState { kReady, kDraining, kRemoved };
 
 /// A server as discovery reports it.
 struct Server {
-  std::string address;  ///< Its identity.
+  std::string address;  ///< Identifies the server.
   int zone = 0;
   int cell = 0;
-  double weight = 1;   ///< Size in comparison with other servers.
-  double started = 0;  ///< When it last started; 0: long ago.
+  double weight = 1;   ///< Capacity relative to other servers.
+  double started = 0;  ///< When it last started, s; 0: long ago.
   ServerState state = ServerState::kReady;
 };
 
-/// A change of the membership, or the failure of a poll or watch.
+/// A change of the membership, or a failed poll or watch.
 struct MembershipUpdate {
   enum class Form {
-    kChanges,  ///< Only what changed.
-    kFull,     ///< The complete list: a server that it lacks is removed.
-    kFailed    ///< Polling failed or the watch broke; the known membership stays.
+    kChanges,  ///< Only the servers that changed.
+    kFull,     ///< The complete endpoint list: a server that is missing is removed.
+    kFailed    ///< A poll or the watch failed; the membership stays as it is.
   };
   Form form = Form::kFull;
   std::vector<Server> servers;
 };
 
-/// A timer that SetTimer asked for is due.
+/// A timer that was set by SetTimer is due.
 struct TimerFired {
   std::uint64_t token = 0;
 };
 
-/// Operators have administratively disabled or enabled a server. While disabled it counts as draining
-/// whatever the membership says, also if it leaves and comes again; once enabled it counts as just started.
+/// An operator has disabled or enabled a server. A disabled server counts as draining whatever the membership
+/// says, also after it was removed and added again. A server that is enabled again counts as just started.
 struct ServerAdminStateChanged {
   std::string address;
   bool enabled = true;
 };
 
-/// Other settings hold from here on. Earlier requests keep the rules that they came under; what was learned
-/// of a tenant or a class is kept for the one of the same name.
+/// New settings apply from now on. Open requests keep the class settings under which they arrived. What was
+/// learned about a tenant or a class is kept for the tenant or class of the same name.
 struct SettingsReplaced {
   Settings settings;
 };
--- a/src/admission/load_shedding_log.cpp
+++ b/src/admission/load_shedding_log.cpp
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-std::optional<std::string> LoadSheddingLog::note(double now, ShedReason reason) {
+std::optional<std::string> LoadSheddingLog::record_rejection(double now, ShedReason reason) {
   if (throttled_ + no_capacity_ == 0) next_line_at_ = now + kMinSecondsBetweenLines;
   ++(reason == ShedReason::kThrottled ? throttled_ : no_capacity_);
   if (now < next_line_at_) return std::nullopt;
--- a/src/admission/load_shedding_log.h
+++ b/src/admission/load_shedding_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// How often load shedding is logged.
+/// The log lines about load shedding.
 #pragma once
 
 #include <optional>
@@ -9,16 +9,16 @@
 
 /// Why a request was rejected.
 enum class ShedReason {
-  kThrottled,  ///< Its tenant is over its rate limit.
+  kThrottled,  ///< Its tenant exceeds its rate limit.
   kNoCapacity  ///< No server has capacity.
 };
 
-/// Counts rejected requests and sums them up in one log line per period. Owns the counts; writes nothing.
+/// Counts rejected requests and formats one log line per period. Owns the counts; does not write the line.
 class LoadSheddingLog {
  public:
   /// Counts one rejected request.
-  /// @return The line to log once the period is over.
-  [[nodiscard]] std::optional<std::string> note(double now, ShedReason reason);
+  /// @return The line to log if the period has ended.
+  [[nodiscard]] std::optional<std::string> record_rejection(double now, ShedReason reason);
 
  private:
   int throttled_ = 0;    // since the last line
--- a/src/admission/tenant_rate_limiter.cpp
+++ b/src/admission/tenant_rate_limiter.cpp
@@ -6,32 +6,35 @@
 namespace nettleyoke {
 namespace {
 
-// A tenth of the short rate's second.
+// A tenth of the 1 s over which the short rate is measured.
 constexpr double kBucketSeconds = 0.1;
-// 4 s: a replica that sees one call a second has some calls to judge by.
+// 4 s, so that a replica with one request per second still has a few requests in the window.
 constexpr int kWindowBuckets = 40;
 constexpr double kWindowSeconds = kBucketSeconds * kWindowBuckets;
-// 1000 ms, the short rate of the design.
+// 1 s, the short rate of the design.
 constexpr int kShortRateBuckets = 10;
 
-// Declined calls count towards the hard limit too: below real floods no tenant is declined altogether.
+// Hard limit as a multiple of the soft limit. Rejected requests count against it too, so that the factor is
+// high: only a flood gets all requests of a tenant rejected.
 constexpr double kHardLimitFactor = 20;
 // How long a suppression factor between 0 and 1 is cached; as in the design.
 constexpr double kFactorCacheSeconds = 0.1;
 
-// A generous start, as a multiple of this replica's part of the quota.
+// Initial limit as a multiple of this replica's share of the quota. It starts high and is lowered by
+// failures.
 constexpr double kInitialLimitPerQuota = 1.5;
-// Standard deviations of a count that the initial limit leaves to chance.
+// Standard deviations of the request rate that the initial limit allows for random variation.
 constexpr double kInitialLimitDeviations = 1.5;
-// Floor as a multiple of this replica's part of the quota: the tier can do more than all quotas together.
+// Floor as a multiple of this replica's share of the quota. The capacity of the tier exceeds the sum of all
+// quotas.
 constexpr double kFloorPerQuota = 1;
-// The same past the first tier, where a rejection wastes the work that was done above.
+// The same behind the first tier, where a rejection wastes the work that the tiers before it have done.
 constexpr double kInnerTierFloorPerQuota = 6;
 
-// What a failure takes off: calls per second, and as a part of the limit at most.
-constexpr double kMaxStepCallsPerSecond = 0.4;
-constexpr double kMaxStepPart = 0.1;
-// Failures for each success at which a limit stays where it is.
+// Upper bounds by which one failure lowers the limit: in requests per second, and as a fraction of the limit.
+constexpr double kMaxStepPerSecond = 0.4;
+constexpr double kMaxStepFraction = 0.1;
+// Failures per success at which the limit stays constant.
 constexpr double kFailuresPerSuccess = 0.25;
 
 }  // namespace
@@ -67,7 +70,7 @@
   return suppression_factor(rate_limit_, sums.total / kWindowSeconds, sums.last_second);
 }
 
-// The factor is cached as in the design, but for its ends: those are two comparisons.
+// The factor is cached as in the design, except for 0 and 1, each of which takes only a comparison.
 bool TenantRateLimiter::admit(double now, RandomSource& random) {
   double factor = current_suppression_factor(window_.sums(now));
   if (factor > 0 && factor < 1) {
@@ -87,11 +90,10 @@
          window_.sums(now).accepted() <= limit_floor_ * kWindowSeconds;
 }
 
-// Calls end a feedback delay after they were admitted: a second in which all of them fail takes
-// kMaxStepCallsPerSecond of a limit and no more, however high it is.
-double TenantRateLimiter::step() const {
-  return std::min(kMaxStepPart, kMaxStepCallsPerSecond / rate_limit_);
-}
+// The step of one result, as a fraction of the limit. Results arrive some time after admission, so that the
+// limit must not drop too far in the meantime: a second in which all requests fail lowers a limit of any
+// height by no more than the fraction kMaxStepPerSecond.
+double TenantRateLimiter::step() const { return std::min(kMaxStepFraction, kMaxStepPerSecond / rate_limit_); }
 
 void TenantRateLimiter::on_success(double now) {
   if (!std::isfinite(rate_limit_)) return;
@@ -106,7 +108,7 @@
 
 TenantStatistics TenantRateLimiter::statistics(double now) const {
   const SlidingWindow::Sums sums = window_.sums(now);
-  return {rate_limit_, current_suppression_factor(sums), sums.total, sums.declined};
+  return {rate_limit_, current_suppression_factor(sums), sums.total, sums.rejected};
 }
 
 }  // namespace nettleyoke
--- a/src/admission/tenant_rate_limiter.h
+++ b/src/admission/tenant_rate_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Admission of one tenant's calls: the suppressed rate limiting of the design.
+/// Admission of one tenant's requests: rate limiting with a suppression factor, as described in the design.
 #pragma once
 
 #include <string>
@@ -12,33 +12,37 @@
 
 namespace nettleyoke {
 
-/// Admits or declines the calls of one tenant at this replica and learns the tenant's rate limit.
+/// Admits or rejects the requests of one tenant at this replica and learns the tenant's rate limit.
 ///
-/// Three regimes: under the soft limit all calls are admitted; between the soft and the hard limit a call is
-/// declined with a probability, the suppression factor; from the hard limit on all are declined. A tenant
-/// without a quota has no limit. It knows nothing of servers: it learns from how calls ended alone.
+/// Below the soft limit all requests are admitted. Between the soft and the hard limit a request is rejected
+/// with a probability, the suppression factor. From the hard limit on all requests are rejected. A tenant
+/// without a quota has no limit. The limit is learned only from the results of requests, not from the state
+/// of servers.
 class TenantRateLimiter {
  public:
-  /// @param tenant Its quota and name.
-  /// @param settings Of the replica: its part of the quota, the tier, the weight beyond the quota.
+  /// @param tenant Quota and name of the tenant.
+  /// @param settings Settings of the replica: replica count, tier and weight beyond the quota.
   TenantRateLimiter(const Tenant& tenant, const Settings& settings);
 
-  /// Takes over what was learned under earlier settings for a tenant of the same name.
+  /// Copies the limit and the window learned under earlier settings for the tenant of the same name.
   void inherit(const TenantRateLimiter& previous);
 
-  /// Decides on one call and counts it.
-  /// @param random One draw is taken, and only between the soft and the hard limit.
+  /// Decides whether to admit one request, and counts it.
+  /// @param random One draw is taken, but none below the soft limit.
   [[nodiscard]] bool admit(double now, RandomSource& random);
 
-  /// Whether the tenant has had less than its quota of late. Where other tenants flood the tier, calls of
-  /// little weight take all the capacity, so that calls within the quota get more of it. To give less
-  /// capacity to the others instead would feed on itself, because capacity is learned from answers.
+  /// Whether the tenant's recent requests are within its quota. When other tenants flood the tier, their
+  /// requests of low weight use up all capacity; requests within the quota therefore get a higher concurrency
+  /// limit. A lower limit for the others instead would lower itself further and further, because limits are
+  /// learned from responses.
   [[nodiscard]] bool is_within_quota(double now) const;
 
-  /// A call has ended well: the limit rises by a small step if it is in use.
+  /// Raises the limit by a small step after a response in time, if the tenant uses more than half of the
+  /// limit.
   void on_success(double now);
 
-  /// A call was rejected, timed out or could not connect: the limit drops by a step, down to its floor.
+  /// Lowers the limit by a step, but not below its floor, after a request was rejected, timed out or could
+  /// not connect.
   void on_failure();
 
   [[nodiscard]] TenantStatistics statistics(double now) const;
@@ -50,10 +54,10 @@
 
   std::string name_;
   SlidingWindow window_;
-  bool over_quota_weighs_less_ = false;  // in the first tier, where calls beyond the quota count for less
-  double rate_limit_ = kInfinity;        // calls per second
-  double initial_limit_ = kInfinity;     // the same, where the limit started
-  double limit_floor_ = 0;               // the same, which the limit never drops below
+  bool over_quota_weighs_less_ = false;  // first tier, and requests beyond the quota have a lower weight
+  double rate_limit_ = kInfinity;        // requests per second
+  double initial_limit_ = kInfinity;     // requests per second
+  double limit_floor_ = 0;               // lower bound of rate_limit_, requests per second
   double over_quota_weight_ = 1;         // slows the rise above initial_limit_
   double cached_factor_ = 0;
   double factor_cached_until_ = -kInfinity;
--- a/src/admission/tenant_table.h
+++ b/src/admission/tenant_table.h
@@ -10,11 +10,11 @@
 
 namespace nettleyoke {
 
-/// Owns one rate limiter for each tenant of the settings and one for traffic without a tenant. Requests share
-/// a limiter with the table, so that one whose tenant is gone from the settings can still end.
+/// Owns one rate limiter for each configured tenant and one for traffic without a tenant. Requests share
+/// ownership of their limiter, because they may end after their tenant was removed from the settings.
 class TenantTable {
  public:
-  /// Takes over the tenants of new settings; what was learned of a tenant of the same name is kept.
+  /// Applies the tenants of new settings. A tenant keeps what was learned for the tenant of the same name.
   void replace(const Settings& settings);
 
   /// @param tenant Index into Settings::tenants; out of range: the limiter of traffic without a tenant.
--- a/src/attempt_results.cpp
+++ b/src/attempt_results.cpp
@@ -1,4 +1,4 @@
-// How attempts end, and what each part learns from it.
+// The results of attempts, and what each module learns from them.
 #include <algorithm>
 #include <utility>
 
@@ -8,16 +8,18 @@
 namespace nettleyoke {
 namespace {
 
-// Part of the latency objective: slower answers show queues before the objective is missed.
-constexpr double kInTimeLatencyRatio = 0.6;
+// Fraction of the latency objective up to which a response raises the tenant's rate limit. Slower responses
+// show queues before the objective is missed.
+constexpr double kMaxLatencyRatioForSuccess = 0.6;
 
-// A latency as a part of the latency objective; 0 where there is none.
+// A latency as a fraction of the latency objective; 0 if the class has no objective.
 double latency_ratio(const RequestState& request, double latency) {
-  const double objective = request.rules().latency_objective;
+  const double objective = request.class_settings().latency_objective;
   return objective > 0 ? latency / objective : 0;
 }
 
-// Outcomes of too much load. An error or an invalid response is a fault of a server and comes at any load.
+// Whether the outcome is a sign of too much load. An error or an invalid response is a fault of the server
+// and occurs at any load.
 bool indicates_overload(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kTimedOut || outcome == Outcome::kConnectFailed;
 }
@@ -30,12 +32,12 @@
   server.outlier.record(now, result.outcome == Outcome::kSucceeded, weight);
 }
 
-// As the design has it, failures lower a tenant's limit and answers in time raise it. An ejected server
-// lowers no tenant's limit.
+// Overload lowers a tenant's rate limit and responses in time raise it. Failures of a server that was already
+// ejected do not lower it.
 void learn_rate_limit(double now, const RequestState& request, const AttemptResult& result,
                       bool was_ejected) {
   if (result.outcome == Outcome::kSucceeded) {
-    if (latency_ratio(request, result.elapsed) < kInTimeLatencyRatio) request.tenant->on_success(now);
+    if (latency_ratio(request, result.elapsed) < kMaxLatencyRatioForSuccess) request.tenant->on_success(now);
   } else if (!was_ejected && indicates_overload(result.outcome)) {
     request.tenant->on_failure();
   }
@@ -49,7 +51,7 @@
   RequestState& request = entry->second;
   request.response_started = true;
   AttemptRecord* attempt = request.find_attempt(started.attempt);
-  if (attempt == nullptr || !attempt->open || std::exchange(attempt->learned, true)) return;
+  if (attempt == nullptr || !attempt->open || std::exchange(attempt->success_recorded, true)) return;
   remove_in_flight(*attempt);
   learn_from(request, registry_[attempt->server],
              {started.id, started.attempt, Outcome::kSucceeded, started.elapsed});
@@ -67,7 +69,7 @@
   remove_in_flight(*attempt);
 
   ServerRecord& server = registry_[attempt->server];
-  if (!attempt->learned) {
+  if (!attempt->success_recorded) {
     learn_from(request, server, result);
   } else if (result.outcome != Outcome::kSucceeded && result.outcome != Outcome::kCancelled) {
     server.outlier.record(now_, false);
@@ -78,7 +80,7 @@
   }
   if (!request.finished && !request.has_open_attempt()) {
     const bool retried = retry_budget_.allows_retry(now_, request) && start_attempt(result.id, request);
-    if (!retried) answer_unserved(result.id, request);
+    if (!retried) reject_or_fail(result.id, request);
   }
   if (request.finished && !request.has_open_attempt()) close(entry);
 }
@@ -96,8 +98,8 @@
                                    const AttemptResult& result) {
   const bool succeeded = result.outcome == Outcome::kSucceeded;
   LatencyEstimate& latency = request.request_class->latency;
-  const bool is_late = result.outcome == Outcome::kTimedOut && result.elapsed >= latency.mean();
-  if (!succeeded && !is_late) return;
+  const bool is_late_timeout = result.outcome == Outcome::kTimedOut && result.elapsed >= latency.mean();
+  if (!succeeded && !is_late_timeout) return;
 
   const double ratio = latency_ratio(request, result.elapsed);
   if (succeeded) {
@@ -111,20 +113,21 @@
   tier_limit_.record_recent_latency(latency_ratio(request, sample));
   latency.record(sample);
   if (!succeeded) return;
-  latency.record_answer(now_, result.elapsed);
+  latency.record_minimum(now_, result.elapsed);
   server.capacity.record_recent_latency(ratio);
   detect_overload(server);
 }
 
-// A server that turns slow shows how many calls in flight overload the tier.
+// When several servers turn slow, the attempts in flight at that moment are more than the tier can process.
 void Balancer::Impl::detect_overload(ServerRecord& server) {
   if (!tier_limit_.is_first_tier() || !server.capacity.is_measured()) return;
-  const bool turned_slow = server.capacity.update_slow();
+  const bool turned_slow = server.capacity.update_slow_state();
   OverloadBound& bound = tier_limit_.overload_bound();
-  if (!turned_slow || !bound.may_drop(now_) || !are_servers_overloaded()) return;
-  const double calls = bound.drop(now_, tier_limit_.in_flight());
+  if (!turned_slow || !bound.may_lower(now_) || !are_servers_overloaded()) return;
+  const double max_in_flight = bound.lower(now_, tier_limit_.in_flight());
   actions_->emplace_back(LogLine{"overloaded: " + server.advertised.address +
-                                 " and others turned slow, in flight limited to " + std::to_string(calls)});
+                                 " and other servers turned slow, attempts in flight limited to " +
+                                 std::to_string(max_in_flight)});
 }
 
 bool Balancer::Impl::are_servers_overloaded() const {
--- a/src/attempts/idempotency_rules.h
+++ b/src/attempts/idempotency_rules.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a request's idempotency allows after attempts that may have run.
+/// What the idempotency of a request allows after attempts that may have run.
 #pragma once
 
 #include <optional>
@@ -9,21 +9,23 @@
 
 namespace nettleyoke {
 
-/// Whether an outcome proves that the attempt never ran. An unknown outcome proves nothing: to take it for
-/// harmless would repeat the effects of a request.
+/// Whether an outcome proves that the attempt never ran. An unknown outcome does not: a retry could repeat
+/// the effects of the request.
 [[nodiscard]] bool proves_never_ran(Outcome outcome);
 
-/// Whether another attempt may go to `candidate` after an earlier one at `earlier_server`.
-/// @param rules Of the request's class.
-[[nodiscard]] bool allows_attempt_after(double now, const RequestClass& rules, const AttemptRecord& earlier,
-                                        const Server& earlier_server, const Server& candidate);
+/// Whether another attempt may be sent to `candidate` after an earlier one to `earlier_server`.
+/// @param class_settings Settings of the request's class.
+[[nodiscard]] bool allows_attempt_after(double now, const RequestClass& class_settings,
+                                        const AttemptRecord& earlier, const Server& earlier_server,
+                                        const Server& candidate);
 
-/// How long, s, a retry of a request with an idempotency key may take to be sent; none: there is no limit.
-/// One that waits for a connection would else be sent past the time in which servers drop duplicates.
+/// The time, s, within which a retry of a request with an idempotency key must be sent; empty: no limit.
+/// Without it, a retry that waits for a connection could be sent when the servers no longer drop its
+/// duplicates.
 [[nodiscard]] std::optional<double> retry_send_limit(double now, const RequestState& request);
 
-/// Whether the request may be rejected. A rejection promises that a retry by the client is harmless: only
-/// when nothing can have run, or duplicates are dropped.
+/// Whether the final answer may be Reject, which promises that a client retry is harmless: no attempt can
+/// have run, or the request is idempotent, or every server drops duplicates.
 [[nodiscard]] bool may_reject(const RequestState& request);
 
 }  // namespace nettleyoke
--- a/src/attempts/latency_estimate.cpp
+++ b/src/attempts/latency_estimate.cpp
@@ -5,33 +5,34 @@
 namespace nettleyoke {
 namespace {
 
-// The objective that the first estimate is derived from is at most this.
+// Upper bound of the latency objective from which the initial estimate is derived.
 constexpr double kMaxInitialObjectiveSeconds = 60;
-constexpr double kInitialMeanPart = 1.0 / 4;
-constexpr double kInitialDeviationPart = 1.0 / 8;
+// The initial estimate, as fractions of the latency objective.
+constexpr double kInitialMeanFraction = 1.0 / 4;
+constexpr double kInitialDeviationFraction = 1.0 / 8;
 // Weight of one sample.
 constexpr double kSampleGain = 0.05;
-// Deviations over the mean before an attempt is clearly late.
+// Deviations above the mean after which an attempt is clearly late.
 constexpr double kLateDeviations = 6;
-// Deviations over the mean that the sample of a timeout is at most.
-constexpr double kCensoredDeviations = 3;
-// A deviation of 0 must not divide.
+// Upper bound of a censored sample, in deviations above the mean.
+constexpr double kMaxCensoredDeviations = 3;
+// Avoids a division by 0.
 constexpr double kMinDeviationSeconds = 1e-9;
-// Weight of one answer in the quickest of late, and how fast that fades.
-constexpr double kQuickestGain = 0.02;
-constexpr double kQuickestSeconds = 10;
+// Weight of one response in the recent minimum, and the time in which the minimum decays to 1/e.
+constexpr double kMinimumGain = 0.02;
+constexpr double kMinimumDecaySeconds = 10;
 
 Ewma initial_estimate(double latency_objective) {
   const double objective = std::min(latency_objective, kMaxInitialObjectiveSeconds);
-  return {objective * kInitialMeanPart, objective * kInitialDeviationPart, 0};
+  return {objective * kInitialMeanFraction, objective * kInitialDeviationFraction, 0};
 }
 
 }  // namespace
 
 LatencyEstimate::LatencyEstimate(double latency_objective)
-    : latency_(initial_estimate(latency_objective)), quickest_(kQuickestGain, kQuickestSeconds) {}
+    : latency_(initial_estimate(latency_objective)), recent_minimum_(kMinimumGain, kMinimumDecaySeconds) {}
 
-double LatencyEstimate::clearly_late_after() const {
+double LatencyEstimate::late_threshold() const {
   return latency_.mean + kLateDeviations * latency_.deviation;
 }
 
@@ -41,7 +42,7 @@
 }
 
 double LatencyEstimate::censored_sample(double elapsed) const {
-  return std::min(elapsed + latency_.deviation, latency_.mean + kCensoredDeviations * latency_.deviation);
+  return std::min(elapsed + latency_.deviation, latency_.mean + kMaxCensoredDeviations * latency_.deviation);
 }
 
 void LatencyEstimate::record(double sample) { latency_.add(sample, kSampleGain); }
--- a/src/attempts/latency_estimate.h
+++ b/src/attempts/latency_estimate.h
@@ -1,5 +1,5 @@
 /// @file
-/// What latency is usual for a class of requests.
+/// The latency estimate of a class of requests.
 #pragma once
 
 #include "statistics/decaying_minimum.h"
@@ -7,36 +7,37 @@
 
 namespace nettleyoke {
 
-/// Learns the latency of one class of requests from attempts that succeeded or timed out. All values are
-/// seconds. Owns what it has learned; decides nothing.
+/// Learns the latency of one class of requests from attempts that succeeded or timed out. All values are in
+/// seconds. Owns the estimate; takes no decisions.
 class LatencyEstimate {
  public:
-  /// @param latency_objective Of the class; the first estimate is derived from it.
+  /// @param latency_objective Of the class, s; the initial estimate is derived from it.
   explicit LatencyEstimate(double latency_objective);
 
   [[nodiscard]] double mean() const { return latency_.mean; }
-  /// After this time an attempt is clearly late.
-  [[nodiscard]] double clearly_late_after() const;
-  /// The quickest answer of late; 0 before the first.
-  [[nodiscard]] double quickest(double now) const { return quickest_.at(now); }
-
-  /// How much a timeout after `elapsed` says of the server, 0 to 1. One that the client cut short says
-  /// something of the client: at the mean a good server is late half of the time, a deviation past it seldom.
+  /// Time after which an attempt is clearly late.
+  [[nodiscard]] double late_threshold() const;
+  /// Least latency of recent responses; 0 before the first.
+  [[nodiscard]] double recent_minimum(double now) const { return recent_minimum_.at(now); }
+
+  /// How much a timeout after `elapsed` counts as a failure of the server, 0 to 1. A timeout that the
+  /// client cut short counts less: a healthy server exceeds the mean half of the time, but the mean plus one
+  /// deviation seldom.
   [[nodiscard]] double timeout_weight(double elapsed) const;
 
-  /// The sample that a timeout gives. It says that an answer takes longer, not how long: the sample is
-  /// censored. Taken for a latency, a timeout that the client cut short would make the next timeout shorter,
-  /// and one that had all its time the next longer, and neither would come back.
+  /// The latency sample for a timeout, which is censored: the response takes longer, but it is unknown how
+  /// long. If `elapsed` were recorded as a latency, a timeout cut short by the client would shorten the next
+  /// timeout and a full timeout would lengthen it, and the estimate would not recover from either.
   [[nodiscard]] double censored_sample(double elapsed) const;
 
   /// Adds a latency or a censored sample.
   void record(double sample);
-  /// Adds a latency to the quickest of late.
-  void record_answer(double now, double elapsed) { quickest_.add(now, elapsed); }
+  /// Adds the latency of a response to the recent minimum.
+  void record_minimum(double now, double elapsed) { recent_minimum_.add(now, elapsed); }
 
  private:
   Ewma latency_;
-  DecayingMinimum quickest_;
+  DecayingMinimum recent_minimum_;
 };
 
 }  // namespace nettleyoke
--- a/src/attempts/request_class_table.cpp
+++ b/src/attempts/request_class_table.cpp
@@ -7,13 +7,13 @@
 
 namespace nettleyoke {
 
-std::shared_ptr<RequestClassState> RequestClassTable::make_state(const RequestClass& rules,
+std::shared_ptr<RequestClassState> RequestClassTable::make_state(const RequestClass& class_settings,
                                                                  int max_attempts) const {
   auto state = std::make_shared<RequestClassState>(
-      RequestClassState{rules, max_attempts, LatencyEstimate(rules.latency_objective)});
-  // The first class of a name is the one in force.
+      RequestClassState{class_settings, max_attempts, LatencyEstimate(class_settings.latency_objective)});
+  // Keep the learned latency of the class of the same name; if several have the name, of the first.
   const auto previous = std::find_if(classes_.begin(), classes_.end(), [&](const auto& candidate) {
-    return !rules.name.empty() && candidate->rules.name == rules.name;
+    return !class_settings.name.empty() && candidate->class_settings.name == class_settings.name;
   });
   if (previous != classes_.end()) state->latency = (*previous)->latency;
   return state;
@@ -24,8 +24,8 @@
   without_class.client_timeout = kInfinity;
   without_class.latency_objective = kInfinity;
   std::vector<std::shared_ptr<RequestClassState>> replacements;
-  for (const RequestClass& rules : settings.classes) {
-    replacements.push_back(make_state(rules, settings.max_attempts));
+  for (const RequestClass& class_settings : settings.classes) {
+    replacements.push_back(make_state(class_settings, settings.max_attempts));
   }
   replacements.push_back(make_state(without_class, settings.max_attempts));
   classes_ = std::move(replacements);
--- a/src/attempts/request_class_table.h
+++ b/src/attempts/request_class_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The classes of requests, with what was learned of each.
+/// The request classes and the latency learned for each.
 #pragma once
 
 #include <cstddef>
@@ -11,26 +11,26 @@
 
 namespace nettleyoke {
 
-/// One class as it was configured, which open requests keep, and its latency.
+/// The settings of one class, which its open requests keep, and its latency estimate.
 struct RequestClassState {
-  RequestClass rules;
+  RequestClass class_settings;
   int max_attempts = 1;
   LatencyEstimate latency;
 };
 
-/// Owns the state of each class of the settings and of one for requests without a class: not idempotent,
-/// without an objective of its own. Requests share a class with the table, so that they keep the rules that
-/// they came under when settings are replaced.
+/// Owns the state of each configured class and of a default class for requests without a class, which is not
+/// idempotent and has no latency objective. Requests share ownership of their class, so that they keep its
+/// settings when the settings are replaced.
 class RequestClassTable {
  public:
-  /// Takes over the classes of new settings; what was learned of a class of the same name is kept.
+  /// Applies the classes of new settings. A class keeps the latency learned for the class of the same name.
   void replace(const Settings& settings);
 
-  /// @param request_class Index into Settings::classes; out of range: the class of requests without one.
+  /// @param request_class Index into Settings::classes; out of range: the default class.
   [[nodiscard]] const std::shared_ptr<RequestClassState>& at(std::size_t request_class) const;
 
  private:
-  [[nodiscard]] std::shared_ptr<RequestClassState> make_state(const RequestClass& rules,
+  [[nodiscard]] std::shared_ptr<RequestClassState> make_state(const RequestClass& class_settings,
                                                               int max_attempts) const;
 
   std::vector<std::shared_ptr<RequestClassState>> classes_;
--- a/src/attempts/request_state.h
+++ b/src/attempts/request_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// A request and its attempts.
+/// The state of an open request and its attempts.
 #pragma once
 
 #include <algorithm>
@@ -15,27 +15,28 @@
 /// One attempt of a request.
 struct AttemptRecord {
   std::size_t server = 0;    ///< Index into the server registry.
-  double sent_at = 0;        ///< s
-  bool open = true;          ///< Its result is still to come.
+  double sent_at = 0;        ///< Time sent, s; once its body is complete, the time of the last byte.
+  bool open = true;          ///< It has no result yet.
   bool may_have_run = true;  ///< The server may have executed it.
-  bool in_flight = false;    ///< It counts towards the concurrency limits.
-  bool learned = false;      ///< Its latency has been learned from: its response has started.
+  bool in_flight = false;    ///< It counts against the concurrency limits.
+  /// Its response has started and was recorded as a success.
+  bool success_recorded = false;
 };
 
-/// A request that still has to be answered, or has attempts open.
+/// A request that has no final answer yet or has open attempts.
 struct RequestState {
   std::shared_ptr<TenantRateLimiter> tenant;
   std::shared_ptr<RequestClassState> request_class;
-  double useful_until = 0;              ///< s; when an answer becomes worthless.
-  double accepted_at = 0;               ///< s
-  std::vector<AttemptRecord> attempts;  ///< Attempt history, in the order of their numbers.
-  bool finished = false;                ///< No answer is owed any more.
-  bool response_started = false;        ///< The client has a part of a response.
-  bool body_consumed = false;           ///< It can't be sent again: a part of its body is gone.
-  bool within_quota = false;            ///< Its tenant had less than its quota when it came.
+  double useful_until = 0;              ///< Time, s, at which a response becomes worthless.
+  double accepted_at = 0;               ///< Time of admission, s.
+  std::vector<AttemptRecord> attempts;  ///< All attempts, in the order of their numbers.
+  bool finished = false;                ///< It needs no final answer any more.
+  bool response_started = false;        ///< A response is being streamed to the client.
+  bool body_consumed = false;           ///< It cannot be sent again: a part of its body is no longer held.
+  bool within_quota = false;            ///< Its tenant was within its quota when it arrived.
   bool body_in_progress = false;        ///< Its body is still arriving.
 
-  [[nodiscard]] const RequestClass& rules() const { return request_class->rules; }
+  [[nodiscard]] const RequestClass& class_settings() const { return request_class->class_settings; }
   [[nodiscard]] double time_left(double now) const { return useful_until - now; }
 
   [[nodiscard]] bool has_open_attempt() const {
@@ -53,7 +54,7 @@
                        [=](const AttemptRecord& attempt) { return attempt.server == server; });
   }
 
-  /// The attempt of this number; none if the number was never given out.
+  /// The attempt of this number; nullptr if there is none.
   [[nodiscard]] AttemptRecord* find_attempt(int number) {
     if (number < 0 || static_cast<std::size_t>(number) >= attempts.size()) return nullptr;
     return &attempts[static_cast<std::size_t>(number)];
--- a/src/attempts/retry_budget.cpp
+++ b/src/attempts/retry_budget.cpp
@@ -5,7 +5,7 @@
 namespace nettleyoke {
 namespace {
 
-// Retries for each first attempt.
+// Retries earned by one first attempt.
 constexpr double kTokensPerFirstAttempt = 0.1;
 
 }  // namespace
--- a/src/attempts/retry_budget.h
+++ b/src/attempts/retry_budget.h
@@ -1,26 +1,26 @@
 /// @file
-/// How many retries a replica may add to its traffic.
+/// The retry budget of a replica.
 #pragma once
 
 #include "attempts/request_state.h"
 
 namespace nettleyoke {
 
-/// A token bucket that first attempts fill and retries empty, so that retries stay a small part of the
+/// A token bucket that first attempts fill and retries drain, so that retries stay a small fraction of the
 /// traffic. Owns the tokens, which all requests of the replica share.
 class RetryBudget {
  public:
-  /// Whether a retry of the request is allowed and worthwhile: it can be sent again, has attempts left, the
-  /// budget holds a token and there is time for an answer.
+  /// Whether a retry is allowed and useful: the request can be sent again and has attempts left, the budget
+  /// holds a token, and there is time for a response.
   [[nodiscard]] bool allows_retry(double now, const RequestState& request) const;
 
-  /// A request's first attempt was sent.
+  /// Adds tokens for the first attempt of a request.
   void on_first_attempt();
-  /// A retry was sent.
+  /// Removes the token of a retry.
   void on_retry();
 
  private:
-  // Retries saved up at most: failures come in clusters.
+  // Number of retries that can be saved up, because failures occur in clusters.
   static constexpr double kMaxTokens = 6;
 
   double tokens_ = kMaxTokens;
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -1,4 +1,4 @@
-// Takes events, calls the parts and emits actions: the public interface, membership and settings.
+// The public interface, and the events about membership and settings.
 #include "nettleyoke/balancer.h"
 
 #include <memory>
@@ -9,8 +9,10 @@
 namespace nettleyoke {
 
 Balancer::Impl::Impl(const Settings& settings, std::uint64_t seed) : random_(seed) {
-  adopt(settings);
-  for (const RequestClass& rules : settings.classes) tier_limit_.assume_objective(rules.latency_objective);
+  apply_settings(settings);
+  for (const RequestClass& class_settings : settings.classes) {
+    tier_limit_.add_configured_objective(class_settings.latency_objective);
+  }
 }
 
 void Balancer::Impl::handle(double now, const Event& event, std::vector<Action>& actions) {
@@ -19,8 +21,8 @@
   std::visit([this](const auto& typed_event) { on(typed_event); }, event);
 }
 
-// At the start, and when settings are replaced. Throws before anything is changed.
-void Balancer::Impl::adopt(const Settings& settings) {
+// Validates first, so that invalid settings change nothing.
+void Balancer::Impl::apply_settings(const Settings& settings) {
   validate(settings);
   settings_ = settings;
   slow_start_.configure(settings);
@@ -38,7 +40,7 @@
 void Balancer::Impl::on(const MembershipUpdate& update) {
   if (update.form == MembershipUpdate::Form::kFailed) return on_watch_failed();
   watch_backoff_.reset();
-  tier_limit_.on_membership(now_);
+  tier_limit_.record_membership_update(now_);
   registry_.update(now_, update, random_);
   subset_.rebuild(registry_);
 }
@@ -55,8 +57,8 @@
 
 void Balancer::Impl::on(const SettingsReplaced& replaced) {
   const bool was_watching = settings_.must_watch;
-  adopt(replaced.settings);
-  watch_backoff_.reset();  // discovery may be another one
+  apply_settings(replaced.settings);
+  watch_backoff_.reset();  // the new settings may come with another discovery agent
   if (settings_.must_watch && !was_watching) actions_->emplace_back(WatchMembership{});
   subset_.rebuild(registry_);
 }
--- a/src/balancer_impl.h
+++ b/src/balancer_impl.h
@@ -1,5 +1,5 @@
 /// @file
-/// The entry point of the decisions: takes events, calls the parts and emits actions.
+/// The implementation of Balancer: dispatches events to the modules and emits actions.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +23,9 @@
 
 namespace nettleyoke {
 
-/// Owns the parts and the open requests. What is decided, and from what, is in the parts; the order in which
-/// they are asked is in this class. balancer.cpp handles membership and settings, request_handling.cpp the
-/// requests and attempt_results.cpp how attempts end.
+/// Owns the modules and the open requests. Each module decides one question; this class defines the order in
+/// which they are called. balancer.cpp handles membership and settings, request_handling.cpp requests and
+/// attempt_results.cpp the results of attempts.
 class Balancer::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed);
@@ -49,7 +49,7 @@
   void on(const ServerAdminStateChanged& change);
   void on(const SettingsReplaced& replaced);
   void on(const TimerFired& timer);
-  void adopt(const Settings& settings);
+  void apply_settings(const Settings& settings);
   void on_watch_failed();
 
   // Requests: request_handling.cpp.
@@ -62,7 +62,7 @@
   void remove_in_flight(AttemptRecord& attempt);
   void shed(const std::string& id, ShedReason reason);
   void reject(const std::string& id);
-  void answer_unserved(const std::string& id, RequestState& request);
+  void reject_or_fail(const std::string& id, RequestState& request);
   void cancel_open_attempts(const std::string& id, const RequestState& request);
   void close(RequestMap::iterator entry);
   void log_load_shedding(ShedReason reason);
@@ -87,12 +87,13 @@
   RetryBudget retry_budget_;
   WatchBackoff watch_backoff_;
   LoadSheddingLog load_shedding_log_;
-  RequestMap requests_;  // looked up, never walked: its order is not the same everywhere
+  RequestMap requests_;  // never iterated, because its order differs between platforms
 
-  // The last timer that was set: others, from before settings were replaced, would be more calls.
+  // Token of the last timer. A timer set before the settings were replaced is ignored: it would start a
+  // second watch.
   std::uint64_t watch_timer_token_ = 0;
 
-  // Of the event that is handled.
+  // Time and actions of the event being handled.
   double now_ = 0;
   std::vector<Action>* actions_ = nullptr;
 };
--- a/src/capacity/concurrency_limits.h
+++ b/src/capacity/concurrency_limits.h
@@ -1,5 +1,5 @@
 /// @file
-/// Adaptive concurrency limits: how many calls may be in flight at one server and at all servers of the tier.
+/// Adaptive concurrency limits: how many attempts may be in flight at one server and in the whole tier.
 #pragma once
 
 #include "capacity/idle_latency.h"
@@ -12,82 +12,83 @@
 
 namespace nettleyoke {
 
-/// Seconds over which the rate of answers is smoothed, and over which the allowance for a server that has had
-/// no time to answer fades.
-constexpr double kAnswerRateSeconds = 2;
+/// Time constant of the response rate, and of the decay of the allowance for a server that has had no time to
+/// respond.
+constexpr double kResponseRateSeconds = 2;
 
-/// What a replica needs to know of the subset when it derives its limits.
+/// The properties of the subset from which a replica derives its limits.
 struct SubsetShape {
-  double members = 0;              ///< Servers in the replica's subset, without extra members.
-  double replicas_per_server = 1;  ///< How many replicas use the same server, 1 at least.
+  double members = 0;              ///< Size of the replica's subset without extra members.
+  double replicas_per_server = 1;  ///< Number of replicas that use the same server, at least 1.
 };
 
-/// The concurrency limit of one server. Owns what was measured of this server: its rate of answers, idle and
-/// recent latency, and whether it is slow. Latencies are parts of the latency objective.
+/// The concurrency limit of one server. Owns the measurements of this server: its response rate, its idle and
+/// recent latency, and whether it is slow. Latencies are fractions of the latency objective.
 class ServerConcurrencyLimit {
  public:
   ServerConcurrencyLimit() = default;
-  /// @param first_seen_at When the server's process was first notified of.
+  /// @param first_seen_at When discovery first reported the server's process, s.
   explicit ServerConcurrencyLimit(double first_seen_at) : first_seen_at_(first_seen_at) {}
 
-  /// Counts a response.
+  /// Adds a response to the response rate and the idle latency.
   void record_response(double now, double latency_ratio);
   /// Adds a response to the recent latency.
   void record_recent_latency(double latency_ratio);
 
-  /// Whether a further call would be answered well before its objective: calls in flight against answers per
-  /// second. A queue longer than the objective would feed itself. One call always has capacity, because each
-  /// of many replicas has only a part of it.
-  /// @param tier_idle_latency_s Of the tier, s.
+  /// Whether a further attempt would get its response well before the objective, judged by the attempts in
+  /// flight and the response rate. A queue longer than the objective would sustain itself. One attempt in
+  /// flight is always allowed: with many replicas, a replica's share of the server's capacity may be less
+  /// than one attempt.
+  /// @param tier_idle_latency_s Idle latency of the tier, s.
   [[nodiscard]] bool has_capacity(double now, int in_flight, double tier_idle_latency_s,
                                   const SubsetShape& subset, bool within_quota) const;
 
-  /// Whether its idle latency is learned.
+  /// Whether the idle latency is learned.
   [[nodiscard]] bool is_measured() const { return idle_.is_learned(); }
-  /// Whether its recent latency is above what counts as recovered.
+  /// Whether the recent latency is higher than that of a recovered server.
   [[nodiscard]] bool is_slower_than_idle() const;
-  /// Updates whether it is slow, with hysteresis.
-  /// @return Whether it has turned slow just now.
-  [[nodiscard]] bool update_slow();
+  /// Updates whether the server is slow, with hysteresis.
+  /// @return Whether it has just turned slow.
+  [[nodiscard]] bool update_slow_state();
 
  private:
-  DecayingRate answer_rate_{kAnswerRateSeconds};
+  DecayingRate response_rate_{kResponseRateSeconds};
   IdleLatency idle_;
   Ewma recent_;
   bool slow_ = false;
   double first_seen_at_ = 0;
 };
 
-/// The concurrency limit of all servers of the tier together, as this replica sees them. It has a steadier
-/// measure than one server's. Owns the number of calls in flight, the tier's latencies and the overload
-/// bound; knows no server by itself.
+/// The concurrency limit of the whole tier, as measured by this replica. Its measurements vary less than
+/// those of one server. Owns the number of attempts in flight, the tier's latencies and the overload bound.
+/// Does not distinguish servers.
 class TierConcurrencyLimit {
  public:
-  /// Takes over other settings; what was measured stays.
+  /// Applies new settings; the measurements stay.
   void configure(const Settings& settings) { tier_ = settings.tier; }
 
-  /// The latency objective of a class that is configured.
-  void assume_objective(double objective_s) { objective_.add(objective_s, 0); }
-  /// The latency objective of a request that was admitted.
+  /// Adds the latency objective, s, of a configured class to the initial mean objective.
+  void add_configured_objective(double objective_s) { objective_.add(objective_s, 0); }
+  /// Adds the latency objective, s, of an admitted request to the mean objective.
   void record_objective(double objective_s);
-  /// The endpoint list has arrived.
-  void on_membership(double now);
+  /// Records when an endpoint list or a change of it has arrived; the first time counts.
+  void record_membership_update(double now);
 
   void add_in_flight() { in_flight_ += 1; }
   void remove_in_flight() { in_flight_ -= 1; }
   [[nodiscard]] int in_flight() const { return in_flight_; }
 
-  /// Counts a response.
+  /// Adds a response to the response rate and the idle latency.
   void record_response(double now, double latency_ratio);
   /// Adds a response, or an attempt that timed out, to the recent latency.
   void record_recent_latency(double latency_ratio);
 
-  /// Latency without queues, s.
+  /// Idle latency, s.
   [[nodiscard]] double idle_latency_s() const { return idle_.ratio() * objective_.mean; }
 
-  /// Whether a further call has capacity. Past the first tier it always has: a rejection there wastes the
-  /// work that was done above.
-  /// @param random One draw is taken in the first tier, none past it.
+  /// Whether the tier has capacity for a further attempt. Always true behind the first tier, where a
+  /// rejection would waste the work that the tiers before it have done.
+  /// @param random One draw is taken in the first tier, none behind it.
   [[nodiscard]] bool has_capacity(double now, const SubsetShape& subset, bool within_quota,
                                   RandomSource& random) const;
 
@@ -97,11 +98,11 @@
 
  private:
   int tier_ = 0;
-  Ewma objective_;  // s; of the requests that come
+  Ewma objective_;  // mean over the admitted requests, s
   IdleLatency idle_;
-  Ewma recent_;  // as a part of the latency objective
-  DecayingRate answer_rate_{kAnswerRateSeconds};
-  double first_member_at_ = kInfinity;
+  Ewma recent_;  // latency as a fraction of the latency objective
+  DecayingRate response_rate_{kResponseRateSeconds};
+  double first_update_at_ = kInfinity;
   int in_flight_ = 0;
   OverloadBound overload_bound_;
 };
--- a/src/capacity/idle_latency.cpp
+++ b/src/capacity/idle_latency.cpp
@@ -5,15 +5,17 @@
 namespace nettleyoke {
 namespace {
 
-// As a part of the latency objective, at most: a start under load must not take queues for the usual.
+// Upper bound of the idle latency, as a fraction of the latency objective. Without it, a replica that starts
+// under load would learn the latency of queues as the idle latency.
 constexpr double kMaxRatio = 0.3;
-// Responses before the idle latency counts as learned.
+// Number of responses after which the idle latency can count as learned.
 constexpr double kMinResponses = 20;
-// Before that long the responses are those of the quickest calls only.
+// The first responses after a start are those of the quickest requests only. Nothing is learned before this
+// time.
 constexpr double kSettleSeconds = 3;
 // Weight of one response.
 constexpr double kResponseGain = 0.02;
-// How fast a quicker, and a slower, latency becomes the usual.
+// Time in which the idle latency falls to a lower average, and rises to a higher one.
 constexpr double kFallSeconds = 5;
 constexpr double kRiseSeconds = 60;
 
--- a/src/capacity/idle_latency.h
+++ b/src/capacity/idle_latency.h
@@ -1,27 +1,28 @@
 /// @file
-/// The latency of servers without queues.
+/// Idle latency: the latency of servers without queues.
 #pragma once
 
 #include "statistics/ewma.h"
 
 namespace nettleyoke {
 
-/// Learns the idle latency of a server or a tier as a part of the latency objective. It falls soon and rises
-/// slowly, so that queues do not pass for the usual. Owns what it has learned; takes no decision.
+/// Learns the idle latency of a server or a tier as a fraction of the latency objective. It falls fast and
+/// rises slowly, so that the latency of queues is not learned as idle latency. Owns the estimate; takes no
+/// decisions.
 class IdleLatency {
  public:
-  /// @param latency_ratio Latency of one response, as a part of the latency objective.
+  /// @param latency_ratio Latency of one response, as a fraction of the latency objective.
   void add(double now, double latency_ratio);
 
-  /// As a part of the latency objective; an assumption until it is learned.
+  /// Idle latency as a fraction of the latency objective; an assumed value until it is learned.
   [[nodiscard]] double ratio() const { return ratio_; }
 
-  /// Whether enough responses were seen. The first responses after a start are those of the quickest calls: a
-  /// limit learned from them would starve the tier.
+  /// Whether enough responses have arrived. The first responses after a start are those of the quickest
+  /// requests: a limit learned from them would leave most of the tier's capacity unused.
   [[nodiscard]] bool is_learned() const { return learned_; }
 
  private:
-  // Assumed until it is learned.
+  // Assumed until the idle latency is learned.
   static constexpr double kInitialRatio = 0.15;
 
   Ewma average_;
--- a/src/capacity/in_flight_load.h
+++ b/src/capacity/in_flight_load.h
@@ -1,11 +1,11 @@
 /// @file
-/// The attempts that a server has in flight from this replica.
+/// The attempts of this replica that are in flight at a server.
 #pragma once
 
 namespace nettleyoke {
 
-/// Counts attempts in flight and knows their mean age. An attempt counts from the moment at which the server
-/// can work on it until it has answered.
+/// The number and mean age of the attempts in flight. An attempt counts from when the server can start to
+/// process it until its response starts.
 class InFlightLoad {
  public:
   void add(double sent_at) {
@@ -13,7 +13,7 @@
     sent_at_sum_ += sent_at;
   }
 
-  /// @param sent_at As it was added.
+  /// @param sent_at The value with which the attempt was added.
   void remove(double sent_at) {
     count_ -= 1;
     sent_at_sum_ -= sent_at;
@@ -21,7 +21,7 @@
 
   [[nodiscard]] int count() const { return count_; }
 
-  /// Mean age of the attempts in flight, s. Only while there are any.
+  /// Mean age of the attempts in flight, s. There must be at least one.
   [[nodiscard]] double mean_age(double now) const { return now - sent_at_sum_ / count_; }
 
  private:
--- a/src/capacity/overload_bound.h
+++ b/src/capacity/overload_bound.h
@@ -1,41 +1,43 @@
 /// @file
-/// The bound on calls in flight that is learned where servers slow down.
+/// The bound on attempts in flight that is learned when servers turn slow together.
 #pragma once
 
 #include "statistics/infinity.h"
 
 namespace nettleyoke {
 
-/// How many calls in flight overload the tier, which nothing advertises: servers that turn slow together show
-/// it. The bound drops below what was in flight then and rises again slowly; there is none until servers have
-/// slowed down once. Once overloaded, a server stays slow for long and its calls slow down the others, hence
-/// a bound in place of waiting for the latency. Knows no servers: whether they are slow is the caller's
-/// measure.
+/// The number of attempts in flight that the tier can process. It is not configured: it is learned when
+/// servers turn slow together. The bound is then lowered below the attempts in flight and rises again slowly;
+/// there is no bound before the first overload. A reaction to latency alone would be too late, because an
+/// overloaded server stays slow for long and its requests slow down the other servers. The calling code
+/// decides whether servers are slow.
 class OverloadBound {
  public:
-  /// Calls in flight.
+  /// Highest allowed number of attempts in flight.
   [[nodiscard]] double at(double now) const;
-  /// Whether the last drop is long enough ago: servers that turn slow together show a single overload.
-  [[nodiscard]] bool may_drop(double now) const;
-  /// Drops below the calls in flight, or below the bound where that is less.
+  /// Whether the last reduction is long enough ago: servers that turn slow together indicate a single
+  /// overload.
+  [[nodiscard]] bool may_lower(double now) const;
+  /// Lowers the bound below the attempts in flight, or below the current bound if that is less.
   /// @return The new bound.
-  double drop(double now, int in_flight);
+  double lower(double now, int in_flight);
 
  private:
   double bound_ = kInfinity;
-  double dropped_at_ = -kInfinity;
+  double lowered_at_ = -kInfinity;
 };
 
-/// Counts how many servers are slower than idle.
+/// Counts the measured servers and those of them that are slow.
 class SlowServerCount {
  public:
-  /// @param slow Of a server whose idle latency is measured.
+  /// Adds a server whose idle latency is learned.
   void add(bool slow) {
     ++measured_;
     if (slow) ++slow_;
   }
-  /// Whether half of the measured servers or more are slow. One that is slow by itself, for a fault or a
-  /// neighbour that takes its resources, says nothing of how many calls the others can hold.
+  /// Whether at least half of the measured servers are slow. A single slow server may have a fault, or
+  /// another process may use up its resources; this does not show how many attempts the other servers can
+  /// process.
   [[nodiscard]] bool is_overload() const { return 2 * slow_ >= measured_; }
 
  private:
--- a/src/health/outlier_detection.cpp
+++ b/src/health/outlier_detection.cpp
@@ -8,18 +8,18 @@
 
 // Weight of one outcome in the failure rate.
 constexpr double kOutcomeGain = 0.3;
-// How fast the failure rate fades, times one more than the consecutive failures.
+// Half-life of the failure rate; each consecutive failure adds the same time again.
 constexpr double kHalfLifeSeconds = 2;
 constexpr int kMaxConsecutiveFailures = 4;
-// A failure rate that counts as none; without it a server would be avoided for good.
+// A lower failure rate counts as 0; otherwise a server would be avoided forever.
 constexpr double kNegligibleFailureRate = 0.05;
 
 }  // namespace
 
-double OutlierDetection::faded_rate(double now) const {
+double OutlierDetection::decayed_rate(double now) const {
   const double half_life = kHalfLifeSeconds * (1 + consecutive_failures_);
-  const double faded = failure_rate_ * std::exp2((updated_at_ - now) / half_life);
-  return faded < kNegligibleFailureRate ? 0 : faded;
+  const double decayed = failure_rate_ * std::exp2((updated_at_ - now) / half_life);
+  return decayed < kNegligibleFailureRate ? 0 : decayed;
 }
 
 void OutlierDetection::record(double now, bool succeeded, double weight) {
--- a/src/health/slow_start.cpp
+++ b/src/health/slow_start.cpp
@@ -5,11 +5,12 @@
 namespace nettleyoke {
 namespace {
 
-// What a bucket gets at most, as a multiple of the server's share of the traffic.
+// Highest refill rate of a bucket, as a multiple of the server's share of the traffic.
 constexpr double kMaxTrafficFactor = 1;
-// Part of the overload threshold that a bucket may fill; the rest is for bursts, retries and chance.
-constexpr double kOverloadThresholdPart = 0.5;
-// What a bucket holds at most beyond one token: this many seconds of the server's share.
+// Fraction of the overload threshold up to which a bucket is refilled. The remainder is for bursts, retries
+// and random variation.
+constexpr double kOverloadThresholdFraction = 0.5;
+// Bucket size beyond one token, in seconds of the server's share.
 constexpr double kBurstSeconds = 0.1;
 
 }  // namespace
@@ -24,15 +25,16 @@
   initial_capacity_ = settings.initial_capacity;
   duration_s_ = settings.slow_start_duration;
   const double overload_factor =
-      settings.overload_threshold > 0 ? kOverloadThresholdPart * settings.overload_threshold : kInfinity;
+      settings.overload_threshold > 0 ? kOverloadThresholdFraction * settings.overload_threshold : kInfinity;
   max_traffic_factor_ = std::min(kMaxTrafficFactor, overload_factor);
 }
 
 double SlowStartPolicy::warming_factor(double now, const SlowStart& server, double started) const {
-  // A server may be restarted while it is disabled. Taken to have started only when it was enabled, it would
-  // get less than it can do, and the others more, just when the next one is disabled.
-  const bool start_is_advertised = started != 0 && started > server.disabled_at_;
-  const double warming_since = start_is_advertised ? started : server.enabled_at_;
+  // A start since the server was last disabled counts even if the server was enabled later. Counted from when
+  // it was enabled, a server that was restarted while disabled would get less than its capacity, and the
+  // other servers more, at the moment when operators disable the next server.
+  const bool started_since_disabled = started != 0 && started > server.disabled_at_;
+  const double warming_since = started_since_disabled ? started : server.enabled_at_;
   const double age = std::max(0.0, now - warming_since);
   return std::min(1.0, initial_capacity_ + (1 - initial_capacity_) * age / duration_s_);
 }
--- a/src/health/slow_start.h
+++ b/src/health/slow_start.h
@@ -1,5 +1,5 @@
 /// @file
-/// Slow start: how much a server that has just started may be sent.
+/// Slow start: how many attempts may be sent to a server that has just started.
 #pragma once
 
 #include "nettleyoke/settings.h"
@@ -8,25 +8,25 @@
 
 namespace nettleyoke {
 
-/// The slow start of one server: its token bucket, and when operators last disabled and enabled it.
+/// The slow start of one server: its token bucket, and when an operator last disabled and enabled it.
 class SlowStart {
  public:
-  /// Another process runs at the server's address: its bucket starts again.
-  /// @param tokens What is in it at first, 0 to 1. Replicas are notified of a start together and must not
-  /// send together, so that each starts with another part of a token.
+  /// Resets the bucket for a new process at the server's address.
+  /// @param tokens Initial content, 0 to 1. All replicas are notified of the start at once; different initial
+  /// contents keep them from sending at once.
   void begin_incarnation(double now, double tokens);
 
-  /// Operators have disabled the server.
+  /// Records that an operator has disabled the server.
   void on_disabled(double now) { disabled_at_ = now; }
-  /// Operators have enabled the server again.
+  /// Records that an operator has enabled the server again.
   void on_enabled(double now) { enabled_at_ = now; }
-  /// Whether operators have ever enabled it again after disabling it.
-  [[nodiscard]] bool was_enabled() const { return enabled_at_ > -kInfinity; }
+  /// Whether an operator has ever disabled the server and enabled it again.
+  [[nodiscard]] bool was_reenabled() const { return enabled_at_ > -kInfinity; }
 
-  /// @param share The server's part of this replica's traffic, 0 to 1; 0 where it has no part in it.
+  /// @param share The server's fraction of this replica's traffic, 0 to 1; 0 outside the subset.
   void set_traffic_share(double share) { traffic_share_ = share; }
 
-  /// Spends the token for one attempt.
+  /// Takes the token for one attempt.
   void take_token() { tokens_ -= 1; }
 
  private:
@@ -39,26 +39,26 @@
   double enabled_at_ = -kInfinity;
 };
 
-/// The settings of slow start and the rate of admitted requests that sizes the token buckets; common to all
-/// servers of a replica.
+/// The slow-start settings and the rate of admitted requests from which the token buckets are refilled.
+/// Shared by all servers of a replica.
 class SlowStartPolicy {
  public:
-  /// Takes over other settings; the admitted rate stays.
+  /// Applies new settings; the admitted rate stays.
   void configure(const Settings& settings);
 
   /// Counts an admitted request.
   void record_admitted(double now) { admitted_rate_.add(now); }
 
-  /// The slow-start factor: the part of its full capacity that a server is sure to have by now, 0 to 1.
-  /// @param started When it last started as advertised, s; 0: long ago.
+  /// The slow-start factor: the fraction of its full capacity that a server has by now at least, 0 to 1.
+  /// @param started When the server last started according to discovery, s; 0: long ago.
   [[nodiscard]] double factor(double now, const SlowStart& server, double started) const {
-    const bool started_long_ago = started == 0 && !server.was_enabled();
+    const bool started_long_ago = started == 0 && !server.was_reenabled();
     return started_long_ago || duration_s_ <= 0 ? 1 : warming_factor(now, server, started);
   }
 
-  /// Refills the token bucket of a server that is warming up and says whether it holds a token. All replicas
-  /// together can overload such a server; each spends no more than the server's share of its own traffic,
-  /// scaled by the slow-start factor.
+  /// Refills the token bucket of a server that is warming up and returns whether it holds a token; true for
+  /// any other server. Without the bucket, all replicas together could overload such a server. Each replica
+  /// sends it no more than the server's share of the replica's traffic, scaled by the slow-start factor.
   [[nodiscard]] bool has_token(double now, SlowStart& server, double started) const;
 
  private:
@@ -66,10 +66,10 @@
 
   double initial_capacity_ = 1;
   double duration_s_ = 0;
-  double max_traffic_factor_ = 1;  // of a server's share of the traffic
+  double max_traffic_factor_ = 1;  // multiple of a server's share of the traffic
   DecayingRate admitted_rate_{kAdmittedRateSeconds};
 
-  // Smoothing of the admitted rate.
+  // Time constant of the admitted rate.
   static constexpr double kAdmittedRateSeconds = 5;
 };
 
--- a/src/membership/locality.h
+++ b/src/membership/locality.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which servers are in the replica's own zone.
+/// Distinguishes servers of the local zone from servers of remote zones.
 #pragma once
 
 #include "nettleyoke/events.h"
@@ -7,16 +7,16 @@
 
 namespace nettleyoke {
 
-/// The replica's zone and the cost of a call to another one.
+/// The replica's zone and the cost of a request to another one.
 struct Locality {
   int zone = 0;
-  double cross_zone_cost = 0;  ///< 0: all zones are alike.
+  double cross_zone_cost = 0;  ///< 0: no zone is preferred.
 
   [[nodiscard]] static Locality of(const Settings& settings) {
     return {settings.zone, settings.cross_zone_cost};
   }
 
-  /// Whether a call to the server costs more because it leaves the zone.
+  /// Whether the server is in a remote zone and cross-zone requests have a cost.
   [[nodiscard]] bool is_remote(const Server& server) const {
     return cross_zone_cost > 0 && server.zone != zone;
   }
--- a/src/membership/server_registry.cpp
+++ b/src/membership/server_registry.cpp
@@ -5,8 +5,8 @@
 namespace nettleyoke {
 namespace {
 
-// Another process runs at the address: what the last one did says nothing of it. Attempts that are still open
-// count on.
+// Resets what was learned about the previous process at the address, because it does not apply to the new
+// one. Attempts in flight stay counted.
 void begin_incarnation(double now, ServerRecord& record, RandomSource& random) {
   record.is_subset_extra = false;
   record.outlier = {};
@@ -27,11 +27,11 @@
     free_indices_.pop_back();
     records_[entry->second] = {};
   }
-  records_[entry->second].order = stable_hash(address);
+  records_[entry->second].sort_key = stable_hash(address);
   return {entry->second, true};
 }
 
-void ServerRegistry::advertise(double now, const Server& server, RandomSource& random) {
+void ServerRegistry::update_server(double now, const Server& server, RandomSource& random) {
   const Slot slot = find_or_add(server.address);
   ServerRecord& record = records_[slot.index];
   if (slot.is_new || server.started != record.advertised.started ||
@@ -48,17 +48,17 @@
 
 void ServerRegistry::update(double now, const MembershipUpdate& update, RandomSource& random) {
   ++list_version_;
-  for (const Server& server : update.servers) advertise(now, server, random);
+  for (const Server& server : update.servers) update_server(now, server, random);
   if (update.form == MembershipUpdate::Form::kFull) {
     for (ServerRecord& record : records_) {
       if (record.list_version != list_version_) record.advertised.state = ServerState::kRemoved;
     }
   }
-  for (std::size_t index = 0; index < records_.size(); ++index) forget_if_unused(index);
+  for (std::size_t index = 0; index < records_.size(); ++index) free_if_unused(index);
 }
 
-// A server is restarted while it is disabled, and the list may advertise that late or never. Taken for warmed
-// up, it would be overloaded: once enabled, it counts as just started.
+// A server that is enabled again counts as just started: it may have been restarted while it was disabled,
+// and discovery may report the restart late or never. Without slow start it would be overloaded.
 bool ServerRegistry::set_admin_state(double now, const ServerAdminStateChanged& change,
                                      RandomSource& random) {
   const bool changed = change.enabled ? disabled_since_.erase(change.address) > 0
@@ -79,17 +79,17 @@
 
 void ServerRegistry::release_reference(std::size_t index) {
   records_[index].attempt_references -= 1;
-  forget_if_unused(index);
+  free_if_unused(index);
 }
 
-// Attempts of open requests name their servers, also those that have ended: their cell binds where the next
-// attempt may go.
-void ServerRegistry::forget_if_unused(std::size_t index) {
+// A removed server is kept while attempts of open requests refer to it. Attempts that have ended refer to it
+// too, because their server's cell limits which servers the next attempt may go to.
+void ServerRegistry::free_if_unused(std::size_t index) {
   ServerRecord& record = records_[index];
   if (record.advertised.state != ServerState::kRemoved || record.attempt_references > 0) return;
-  if (record.forgotten) return;
+  if (record.is_free) return;
   index_by_address_.erase(record.advertised.address);
-  record.forgotten = true;
+  record.is_free = true;
   free_indices_.push_back(index);
 }
 
--- a/src/membership/server_registry.h
+++ b/src/membership/server_registry.h
@@ -1,5 +1,5 @@
 /// @file
-/// The servers that a replica knows of.
+/// The servers that a replica tracks.
 #pragma once
 
 #include <cstddef>
@@ -18,15 +18,15 @@
 
 namespace nettleyoke {
 
-/// One server: what discovery and the operators say of it, and each part's own state of it.
+/// One server: its state in discovery, its administrative state and what each module tracks about it.
 struct ServerRecord {
-  Server advertised;                       ///< As it was advertised last.
-  std::uint64_t order = 0;                 ///< Its place in the order that all replicas share.
-  std::uint64_t list_version = 0;          ///< The membership update that advertised it last.
-  bool administratively_disabled = false;  ///< By operators.
+  Server advertised;                       ///< As discovery last reported it.
+  std::uint64_t sort_key = 0;              ///< Hash of the address: all replicas sort servers alike.
+  std::uint64_t list_version = 0;          ///< Number of the last membership update that contained it.
+  bool administratively_disabled = false;  ///< Disabled by an operator.
   bool is_subset_extra = false;  ///< In this replica's subset only while it is warming up; set by Subset.
-  int attempt_references = 0;    ///< Attempts of open requests that name it, ended ones too.
-  bool forgotten = false;        ///< Its index is free for another server.
+  int attempt_references = 0;    ///< Open and ended attempts of open requests that refer to it.
+  bool is_free = false;          ///< The index may be given to another server.
 
   InFlightLoad in_flight;
   OutlierDetection outlier;
@@ -34,37 +34,38 @@
   ServerConcurrencyLimit capacity;
   RelativeLatency relative_latency;
 
-  [[nodiscard]] bool may_get_calls() const {
+  [[nodiscard]] bool accepts_attempts() const {
     return advertised.state == ServerState::kReady && !administratively_disabled;
   }
 };
 
-/// Owns the records of all servers and the administrative state. A server keeps its index as long as open
-/// requests refer to it; then the index is used again, so that the registry does not grow where new servers
-/// come all day. It does not choose servers.
+/// Owns the records of all servers and the administrative state. A server keeps its index while it is listed
+/// or open requests refer to it. Then the index is reused, so that the registry does not grow when servers
+/// are replaced again and again. It does not select servers.
 class ServerRegistry {
  public:
-  /// Takes over a list or changes of it. MembershipUpdate::Form::kFailed has none and must not come here.
-  /// @param random One draw is taken for each process that is new.
+  /// Applies a complete list or a list of changes.
+  /// @param update Of any form but MembershipUpdate::Form::kFailed, which has no servers.
+  /// @param random One draw is taken for each new process.
   void update(double now, const MembershipUpdate& update, RandomSource& random);
 
-  /// Takes over what operators did, also for an address that is not advertised.
-  /// @return Whether a known server has changed.
+  /// Applies an administrative state; the address need not be listed.
+  /// @return Whether a tracked server has changed.
   [[nodiscard]] bool set_admin_state(double now, const ServerAdminStateChanged& change, RandomSource& random);
 
-  /// An attempt of an open request names the server.
+  /// Adds a reference of an attempt to its server.
   void add_reference(std::size_t index) { records_[index].attempt_references += 1; }
-  /// The request of such an attempt has ended.
+  /// Removes the reference of an attempt, once its request is closed.
   void release_reference(std::size_t index);
 
   [[nodiscard]] ServerRecord& operator[](std::size_t index) { return records_[index]; }
   [[nodiscard]] const ServerRecord& operator[](std::size_t index) const { return records_[index]; }
-  /// Indices run from 0 to this; those of forgotten servers are among them.
+  /// Number of indices, free ones included.
   [[nodiscard]] std::size_t index_count() const { return records_.size(); }
 
-  /// Servers that are advertised, or removed and still referred to.
+  /// Number of servers that are listed, or removed and still referred to.
   [[nodiscard]] std::size_t tracked_count() const { return records_.size() - free_indices_.size(); }
-  /// Advertised servers that are administratively disabled or ejected.
+  /// Number of listed servers that are administratively disabled or ejected.
   [[nodiscard]] std::size_t unavailable_count(double now) const;
 
  private:
@@ -74,13 +75,14 @@
   };
 
   [[nodiscard]] Slot find_or_add(const std::string& address);
-  void advertise(double now, const Server& server, RandomSource& random);
-  void forget_if_unused(std::size_t index);
+  void update_server(double now, const Server& server, RandomSource& random);
+  void free_if_unused(std::size_t index);
 
   std::vector<ServerRecord> records_;
   std::unordered_map<std::string, std::size_t> index_by_address_;
   std::vector<std::size_t> free_indices_;
-  // Since when, advertised or not. Looked up, never walked: its order is not the same everywhere.
+  // When each disabled address was disabled, s; the address need not be listed. Never iterated, because its
+  // order differs between platforms.
   std::unordered_map<std::string, double> disabled_since_;
   std::uint64_t list_version_ = 0;
 };
--- a/src/membership/subsetting.cpp
+++ b/src/membership/subsetting.cpp
@@ -7,17 +7,17 @@
 namespace nettleyoke {
 namespace {
 
-// Servers in a subset at least: enough spread, few connections.
-constexpr std::size_t kMinServers = 5;
-// Replicas that use each server at least: few replicas have large subsets.
+// Least size of a subset: enough servers to spread the load over, few enough connections.
+constexpr std::size_t kMinSubsetSize = 5;
+// Least number of replicas that use each server. With few replicas, subsets are therefore large.
 constexpr std::size_t kReplicasPerServer = 2;
-// The same of a server that is warming up, with extra members: uneven replicas even out.
+// The same for a server that is warming up. More replicas even out differences between their traffic.
 constexpr std::size_t kReplicasPerWarmingServer = 8;
 
 }  // namespace
 
-// Evenly spaced starts on a ring: any two servers differ by at most one in how many replicas use them, and a
-// server that leaves moves each start by one place at most.
+// The subsets start at evenly spaced positions of a ring. The numbers of replicas that use two servers differ
+// by one at most, and the removal of a server moves each start by one position at most.
 std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
                                    std::size_t size) {
   std::vector<std::size_t> positions;
@@ -35,44 +35,45 @@
   locality_ = Locality::of(settings);
 }
 
-// A subset of fixed size would leave servers without any replica where replicas are few.
-std::vector<std::size_t> Subset::own_part(const std::vector<std::size_t>& servers,
-                                          std::size_t replicas_per_server) const {
+// The size grows when replicas are few: with a fixed size, some servers would be used by no replica.
+std::vector<std::size_t> Subset::own_subset(const std::vector<std::size_t>& servers,
+                                            std::size_t replicas_per_server) const {
   const std::size_t size =
-      std::max(kMinServers, (replicas_per_server * servers.size() + replica_count_ - 1) / replica_count_);
-  std::vector<std::size_t> part = subset_of(replica_index_, replica_count_, servers.size(), size);
-  for (std::size_t& position : part) position = servers[position];
-  return part;
+      std::max(kMinSubsetSize, (replicas_per_server * servers.size() + replica_count_ - 1) / replica_count_);
+  std::vector<std::size_t> subset = subset_of(replica_index_, replica_count_, servers.size(), size);
+  for (std::size_t& position : subset) position = servers[position];
+  return subset;
 }
 
-void Subset::collect(ServerRegistry& registry, Weights& weights) {
+void Subset::collect_available(ServerRegistry& registry, Weights& weights) {
   all_.clear();
   for (std::size_t index = 0; index < registry.index_count(); ++index) {
     ServerRecord& record = registry[index];
-    if (!record.may_get_calls()) continue;
+    if (!record.accepts_attempts()) continue;
     all_.push_back(index);
     record.slow_start.set_traffic_share(0);
     record.is_subset_extra = false;
     weights.all += record.advertised.weight;
   }
   std::sort(all_.begin(), all_.end(), [&](std::size_t left, std::size_t right) {
-    return registry[left].order < registry[right].order;
+    return registry[left].sort_key < registry[right].sort_key;
   });
 }
 
-// A share of all servers' traffic, spent at the few servers of a subset, would leave one that is warming up
-// in a large fleet with next to nothing: local members share the subset's traffic. Servers beyond the subset
-// have no share: with all replicas standing in, the sum would be too much.
+// The traffic share of a local member is relative to the local members, because this replica spreads its
+// traffic over them. Relative to a large fleet, a server that is warming up would get almost nothing. Servers
+// outside the subset have no share: if all replicas fell back to such a server, the sum of their shares would
+// overload it.
 void Subset::rebuild(ServerRegistry& registry) {
   Weights weights;
-  collect(registry, weights);
+  collect_available(registry, weights);
   const auto first_remote = std::stable_partition(all_.begin(), all_.end(), [&](std::size_t index) {
     return !locality_.is_remote(registry[index].advertised);
   });
   const std::vector<std::size_t> local(all_.begin(), first_remote);
-  members_ = own_part(local, kReplicasPerWarmingServer);
-  const std::vector<std::size_t> regular = own_part(local, kReplicasPerServer);
-  const std::vector<std::size_t> remote = own_part({first_remote, all_.end()}, kReplicasPerServer);
+  members_ = own_subset(local, kReplicasPerWarmingServer);
+  const std::vector<std::size_t> regular = own_subset(local, kReplicasPerServer);
+  const std::vector<std::size_t> remote = own_subset({first_remote, all_.end()}, kReplicasPerServer);
 
   for (const std::size_t index : members_) weights.local_members += registry[index].advertised.weight;
   for (const std::size_t index : members_) {
--- a/src/membership/watch_backoff.cpp
+++ b/src/membership/watch_backoff.cpp
@@ -5,9 +5,9 @@
 namespace nettleyoke {
 namespace {
 
-// Between the starts of two calls that fail, at most.
-constexpr double kMaxSecondsBetweenAttempts = 4;
-// Part of the notification deadline that the backoff is at most, and its bound where there is no deadline.
+// Longest time between the starts of two failed polls or watches.
+constexpr double kMaxSecondsBetweenStarts = 4;
+// Longest backoff, as a fraction of the notification deadline and in seconds if there is no deadline.
 constexpr double kMaxBackoffPerDeadline = 0.5;
 constexpr double kMaxBackoffSeconds = 5;
 
@@ -17,7 +17,7 @@
   const double max_backoff =
       notification_deadline > 0 ? notification_deadline * kMaxBackoffPerDeadline : kMaxBackoffSeconds;
   const double until_due =
-      std::max(last_attempt_at_ + kMaxSecondsBetweenAttempts - now, kInitialBackoffSeconds);
+      std::max(last_attempt_at_ + kMaxSecondsBetweenStarts - now, kInitialBackoffSeconds);
   const double pause = std::min(backoff_s_, until_due);
   last_attempt_at_ = now + std::min(pause, max_backoff) * (0.5 + random.unit() / 2);
   backoff_s_ = std::min(backoff_s_ * 2, max_backoff);
--- a/src/membership/watch_backoff.h
+++ b/src/membership/watch_backoff.h
@@ -7,21 +7,22 @@
 
 namespace nettleyoke {
 
-/// Re-watch with exponential backoff and jitter. What discovery has while a call hangs counts as notified
-/// soon, so that a call which hung long leaves less pause. Owns the backoff; sets no timer.
+/// Re-watch with exponential backoff and jitter. The backoff is shorter after a watch that hung for long,
+/// because changes that occurred in the meantime reach their notification deadline soon. Owns the backoff;
+/// sets no timer.
 class WatchBackoff {
  public:
-  /// An update has arrived, or discovery may be another one: the next failure waits least.
+  /// Resets the backoff to its initial value: an update has arrived, or the discovery agent may have changed.
   void reset() { backoff_s_ = kInitialBackoffSeconds; }
 
-  /// A poll or watch has failed.
+  /// Records a failed poll or watch and computes when to watch again.
   /// @param notification_deadline As in Settings, s; 0: unknown.
   /// @param random One draw is taken.
-  /// @return When to try again, s.
+  /// @return Time of the re-watch, s.
   [[nodiscard]] double next_attempt_at(double now, double notification_deadline, RandomSource& random);
 
  private:
-  // Doubled with each failure in a row.
+  // Doubles with each consecutive failure.
   static constexpr double kInitialBackoffSeconds = 0.3;
 
   double backoff_s_ = kInitialBackoffSeconds;
--- a/src/request_handling.cpp
+++ b/src/request_handling.cpp
@@ -1,4 +1,4 @@
-// Requests: admission, attempts and final answers.
+// The events of a request: its arrival, its body and its cancellation. Admission, attempts and final answers.
 #include <algorithm>
 #include <cmath>
 #include <optional>
@@ -11,24 +11,24 @@
 namespace nettleyoke {
 
 void Balancer::Impl::on(const Request& request) {
-  if (requests_.contains(request.id)) return;  // an id that is still open: one answer is owed, not two
+  if (requests_.contains(request.id)) return;  // a duplicate: the open request gets one answer
   TenantRateLimiter& tenant = *tenants_.at(request.tenant);
   const bool within_quota = tenant.is_within_quota(now_);
   if (!tenant.admit(now_, random_)) return shed(request.id, ShedReason::kThrottled);
-  // A call that comes too late would cost a server its time and end in a timeout.
+  // Not even the quickest recent response would be in time: an attempt would only waste work of a server.
   const RequestClassState& request_class = *classes_.at(request.request_class);
-  if (request.time_left < request_class.latency.quickest(now_)) return reject(request.id);
+  if (request.time_left < request_class.latency.recent_minimum(now_)) return reject(request.id);
 
   slow_start_.record_admitted(now_);
-  const RequestClass& rules = request_class.rules;
-  if (std::isfinite(rules.latency_objective)) {
-    tier_limit_.record_objective(std::min(rules.latency_objective, rules.client_timeout));
+  const RequestClass& class_settings = request_class.class_settings;
+  if (std::isfinite(class_settings.latency_objective)) {
+    tier_limit_.record_objective(std::min(class_settings.latency_objective, class_settings.client_timeout));
   }
   const auto entry = requests_.try_emplace(request.id, make_state(request, within_quota)).first;
   if (start_attempt(request.id, entry->second)) return;
   tenant.on_failure();
   log_load_shedding(ShedReason::kNoCapacity);
-  answer_unserved(request.id, entry->second);
+  reject_or_fail(request.id, entry->second);
   requests_.erase(entry);
 }
 
@@ -36,11 +36,12 @@
   RequestState state;
   state.tenant = tenants_.at(request.tenant);
   state.request_class = classes_.at(request.request_class);
-  const RequestClass& rules = state.rules();
-  const double objective = std::min(
-      rules.latency_objective + rules.objective_growth * request.work.value_or(0), rules.client_timeout);
+  const RequestClass& class_settings = state.class_settings();
+  const double objective =
+      std::min(class_settings.latency_objective + class_settings.objective_growth * request.work.value_or(0),
+               class_settings.client_timeout);
   const double useful_for =
-      rules.late_value > 0 ? request.time_left : objective - 2 * settings_.clock_granularity;
+      class_settings.late_value > 0 ? request.time_left : objective - 2 * settings_.clock_granularity;
   state.useful_until = now_ + std::min(request.time_left, useful_for);
   state.accepted_at = now_;
   state.within_quota = within_quota;
@@ -55,7 +56,7 @@
   if (!std::exchange(request.body_in_progress, false)) return;
   request.useful_until += now_ - request.accepted_at;
   for (AttemptRecord& attempt : request.attempts) {
-    if (attempt.open && !attempt.in_flight && !attempt.learned) add_in_flight(attempt);
+    if (attempt.open && !attempt.in_flight && !attempt.success_recorded) add_in_flight(attempt);
   }
 }
 
@@ -68,7 +69,7 @@
   if (!request.has_open_attempt()) close(entry);
 }
 
-// Returns whether there was time and a server for an attempt.
+// Returns false if there is too little time or no eligible server.
 bool Balancer::Impl::start_attempt(const std::string& id, RequestState& request) {
   const double timeout = attempt_timeout(now_, request);
   if (!(timeout > 0)) return false;
@@ -87,8 +88,8 @@
   }
   registry_.add_reference(*index);
   request.attempts.push_back({*index, now_});
-  // A body may take seconds to arrive, or an answer to be sent. Taken for work that the server has in hand, a
-  // few such requests would fill the tier's limit, and all others would be rejected.
+  // A body may take seconds to arrive and a response seconds to be sent. If those times counted as in flight,
+  // a few such requests would use up the tier's concurrency limit, and all others would be rejected.
   if (!request.body_in_progress) add_in_flight(request.attempts.back());
   actions_->emplace_back(
       StartAttempt{id, server.advertised.address, timeout, request.time_left(now_), send_within});
@@ -117,7 +118,7 @@
   actions_->emplace_back(Reject{id, settings_.max_retry_after / 2});
 }
 
-void Balancer::Impl::answer_unserved(const std::string& id, RequestState& request) {
+void Balancer::Impl::reject_or_fail(const std::string& id, RequestState& request) {
   request.finished = true;
   if (may_reject(request)) return reject(id);
   actions_->emplace_back(Fail{id});
@@ -131,13 +132,13 @@
 }
 
 void Balancer::Impl::close(RequestMap::iterator entry) {
-  const RequestState ended = std::move(entry->second);
+  const RequestState closed = std::move(entry->second);
   requests_.erase(entry);
-  for (const AttemptRecord& attempt : ended.attempts) registry_.release_reference(attempt.server);
+  for (const AttemptRecord& attempt : closed.attempts) registry_.release_reference(attempt.server);
 }
 
 void Balancer::Impl::log_load_shedding(ShedReason reason) {
-  const std::optional<std::string> line = load_shedding_log_.note(now_, reason);
+  const std::optional<std::string> line = load_shedding_log_.record_rejection(now_, reason);
   if (line) actions_->emplace_back(LogLine{*line});
 }
 
--- a/src/selection/endpoint_selector.cpp
+++ b/src/selection/endpoint_selector.cpp
@@ -8,9 +8,9 @@
 namespace nettleyoke {
 namespace {
 
-// Weight of one attempt in the usual latency.
-constexpr double kUsualLatencyGain = 0.05;
-// How strongly failures raise the load score, and the failure rate that they do so for at most.
+// Weight of one attempt in the mean latency.
+constexpr double kMeanLatencyGain = 0.05;
+// How strongly failures raise the load score, and the failure rate above which they raise it no further.
 constexpr double kFailureExponent = 4;
 constexpr double kMaxFailureRate = 0.99;
 // A cross-zone cost of 0.01 raises the load score by half.
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void EndpointSelector::record_latency(double latency_s) { usual_latency_.add(latency_s, kUsualLatencyGain); }
+void EndpointSelector::record_latency(double latency_s) { mean_latency_.add(latency_s, kMeanLatencyGain); }
 
 std::optional<std::size_t> EndpointSelector::pick_endpoint(double now, const RequestState& request) {
   if (!tier_limit_.has_capacity(now, subset_.shape(), request.within_quota, random_)) return std::nullopt;
@@ -26,9 +26,9 @@
   return pick_of_two(now);
 }
 
-// Where the subset has too few eligible members, all servers stand in; where none is healthy the cause is
-// shared and health does not count. Past the first tier capacity is a preference: a rejection there wastes
-// the work that was done above.
+// If too few members of the subset are eligible, all servers are considered. If no server is healthy, they
+// have a common cause, and health is ignored. Behind the first tier capacity is only a preference, because a
+// rejection would waste the work that the tiers before it have done.
 bool EndpointSelector::find_eligible(double now, const RequestState& request) {
   const bool first_tier = tier_limit_.is_first_tier();
   const std::vector<std::size_t>& all = subset_.all();
@@ -66,20 +66,20 @@
                                     subset_.shape(), request.within_quota)) {
     return false;
   }
-  const bool is_spare_extra = requirements.is_regular_member && server.is_subset_extra &&
-                              slow_start_.factor(now, server.slow_start, server.advertised.started) >= 1;
-  return !is_spare_extra;
+  const bool is_warm_extra = requirements.is_regular_member && server.is_subset_extra &&
+                             slow_start_.factor(now, server.slow_start, server.advertised.started) >= 1;
+  return !is_warm_extra;
 }
 
 bool EndpointSelector::allows_attempt_on(double now, const RequestState& request,
                                          const Server& candidate) const {
   return std::all_of(request.attempts.begin(), request.attempts.end(), [&](const AttemptRecord& earlier) {
-    return allows_attempt_after(now, request.rules(), earlier, registry_[earlier.server].advertised,
+    return allows_attempt_after(now, request.class_settings(), earlier, registry_[earlier.server].advertised,
                                 candidate);
   });
 }
 
-// Power of two choices: the first of the local zone, if any, the second any other.
+// Power of two choices: the first is of the local zone if possible, the second is any other.
 std::size_t EndpointSelector::pick_of_two(double now) {
   const auto first_remote = std::find_if(eligible_.begin(), eligible_.end(), [&](std::size_t index) {
     return locality_.is_remote(registry_[index].advertised);
@@ -94,19 +94,20 @@
   return second_score < first_score ? eligible_[second] : eligible_[first];
 }
 
-// Where calls are few all servers are idle, and one that operators have enabled again would lose each choice
-// until it has warmed up, if the slow-start factor counted. Its token bucket bounds what it gets.
+// The slow-start factor does not count for an idle server that was enabled again. With little traffic all
+// servers are idle, and such a server would never be picked until it has warmed up. Its token bucket limits
+// its traffic.
 double EndpointSelector::load_score(double now, const ServerRecord& server) const {
-  const bool is_idle_and_enabled_again = server.in_flight.count() == 0 && server.slow_start.was_enabled();
+  const bool is_idle_and_reenabled = server.in_flight.count() == 0 && server.slow_start.was_reenabled();
   const double slow_start_factor =
-      is_idle_and_enabled_again ? 1 : slow_start_.factor(now, server.slow_start, server.advertised.started);
+      is_idle_and_reenabled ? 1 : slow_start_.factor(now, server.slow_start, server.advertised.started);
   const double failure_rate = std::min(server.outlier.failure_rate(now), kMaxFailureRate);
-  const double trust = std::pow(1 - failure_rate, kFailureExponent);
-  const double latency = server.relative_latency.at(now, server.in_flight, usual_latency_.mean);
+  const double health_factor = std::pow(1 - failure_rate, kFailureExponent);
+  const double latency = server.relative_latency.at(now, server.in_flight, mean_latency_.mean);
   const double zone_factor =
       locality_.is_remote(server.advertised) ? 1 + kScorePerCrossZoneCost * locality_.cross_zone_cost : 1;
   return (server.in_flight.count() + 1) * latency * zone_factor /
-         (server.advertised.weight * slow_start_factor * trust);
+         (server.advertised.weight * slow_start_factor * health_factor);
 }
 
 }  // namespace nettleyoke
--- a/src/selection/endpoint_selector.h
+++ b/src/selection/endpoint_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which server gets an attempt.
+/// Selection of the server for an attempt.
 #pragma once
 
 #include <cstddef>
@@ -16,10 +16,10 @@
 
 namespace nettleyoke {
 
-/// Picks the server of an attempt: eligible endpoints, then the one with the lower load score of two random
-/// ones. Owns the usual latency that servers are compared with; servers, subset, limits and random draws are
-/// the caller's and have to outlive it. It sends nothing and changes no server but for the refill of its
-/// slow-start token bucket.
+/// Picks the server for an attempt: it collects the eligible endpoints and picks the one with the lower load
+/// score of two random ones. Owns the mean latency with which servers are compared. The registry, subset,
+/// limits and random source belong to the calling code and must outlive the selector. It sends nothing and
+/// changes nothing of a server but its slow-start token bucket, which it refills.
 class EndpointSelector {
  public:
   EndpointSelector(ServerRegistry& registry, const Subset& subset, const TierConcurrencyLimit& tier_limit,
@@ -30,23 +30,23 @@
         slow_start_(slow_start),
         random_(random) {}
 
-  /// Takes over other settings.
+  /// Applies new settings.
   void configure(const Settings& settings) { locality_ = Locality::of(settings); }
 
-  /// Adds the latency of an attempt, s, to the usual of all servers and classes.
+  /// Adds the latency of an attempt, s, to the mean over all servers and classes.
   void record_latency(double latency_s);
 
   /// Picks the server for the request's next attempt.
-  /// @return Its index in the registry; none where the tier or all servers are at their limits.
+  /// @return Its index in the registry; empty if the tier is at its limit or no server is eligible.
   [[nodiscard]] std::optional<std::size_t> pick_endpoint(double now, const RequestState& request);
 
  private:
-  /// What an endpoint has to satisfy beside the idempotency rules and its slow-start tokens.
+  /// What an endpoint must satisfy in addition to the idempotency rules and its slow-start tokens.
   struct Requirements {
     bool healthy = true;             // not ejected
-    bool untried = true;             // no attempt of the request went there
-    bool has_capacity = true;        // its concurrency limit allows one more
-    bool is_regular_member = false;  // no extra member of the subset that has warmed up
+    bool untried = true;             // no attempt of the request was sent to it
+    bool has_capacity = true;        // its concurrency limit allows one more attempt
+    bool is_regular_member = false;  // not an extra member that has warmed up
   };
 
   [[nodiscard]] bool find_eligible(double now, const RequestState& request);
@@ -65,8 +65,8 @@
   const SlowStartPolicy& slow_start_;
   RandomSource& random_;
   Locality locality_;
-  Ewma usual_latency_{1, 0, 0};        // s; over all servers and classes
-  std::vector<std::size_t> eligible_;  // of the last pick; a member so that a pick allocates nothing
+  Ewma mean_latency_{1, 0, 0};         // s; over all servers and classes
+  std::vector<std::size_t> eligible_;  // of the last pick; a member to avoid an allocation per pick
 };
 
 }  // namespace nettleyoke
--- a/src/selection/relative_latency.h
+++ b/src/selection/relative_latency.h
@@ -1,5 +1,5 @@
 /// @file
-/// How slow a server is against the others.
+/// Relative latency: how slow a server is compared with the others.
 #pragma once
 
 #include "capacity/in_flight_load.h"
@@ -7,18 +7,20 @@
 
 namespace nettleyoke {
 
-/// The relative latency of one server: its latency against the usual of the same class of requests, 1 being
-/// the usual. Owns the moving average; fades to 1, because a slow server would else never be tried again.
+/// The latency of one server relative to the mean latency of the same request class; 1: equal to the mean.
+/// Owns a moving average, which decays to 1, because otherwise a slow server would never be tried again.
 class RelativeLatency {
  public:
-  /// @param ratio Latency of an attempt, or its age at a timeout, against the usual of its class.
+  /// Adds one attempt.
+  /// @param ratio Latency of the attempt, or its age at a timeout, relative to the mean of its class.
   void record(double now, double ratio);
 
-  /// By its last answers, or by the age of what it has not answered; 1 at least, so that like servers stay a
-  /// tie, which the calls in flight decide. At one call per second, calls in flight tell slow servers from
-  /// fast ones only once queues are long.
-  /// @param usual_latency_s Over all servers and classes, s.
-  [[nodiscard]] double at(double now, const InFlightLoad& in_flight, double usual_latency_s) const;
+  /// The relative latency by the last responses or by the age of the attempts in flight, whichever is higher.
+  /// It is at least 1, so that equal servers have equal values and the attempts in flight decide. Attempts in
+  /// flight alone do not suffice: at one request per second they show a slow server only when its queue is
+  /// long.
+  /// @param mean_latency_s Mean latency over all servers and classes, s.
+  [[nodiscard]] double at(double now, const InFlightLoad& in_flight, double mean_latency_s) const;
 
  private:
   Ewma average_{1, 0, 0};
--- a/src/statistics/decaying_minimum.h
+++ b/src/statistics/decaying_minimum.h
@@ -1,17 +1,18 @@
 /// @file
-/// The smallest value of late.
+/// The recent minimum of a series.
 #pragma once
 
 #include <cmath>
 
 namespace nettleyoke {
 
-/// Follows a smaller value at once and larger ones slowly. It decays towards 0 without samples, so that what
-/// is not tried because of it is tried again. Owns the value and the time of the last sample.
+/// Takes a smaller value at once and approaches larger ones slowly. Without samples it decays towards 0, so
+/// that requests that were rejected because of it are admitted again. Owns the minimum and the time of the
+/// last sample.
 class DecayingMinimum {
  public:
   /// @param gain Weight of one sample above the minimum.
-  /// @param time_constant_s Seconds without samples after which 1/e of the minimum is left.
+  /// @param time_constant_s Time without samples in which the minimum decays to 1/e, s.
   DecayingMinimum(double gain, double time_constant_s) : gain_(gain), time_constant_s_(time_constant_s) {}
 
   /// The minimum; 0 before the first sample.
--- a/src/statistics/decaying_rate.h
+++ b/src/statistics/decaying_rate.h
@@ -1,15 +1,15 @@
 /// @file
-/// A rate of events that forgets exponentially.
+/// A rate of events with exponential decay.
 #pragma once
 
 #include <cmath>
 
 namespace nettleyoke {
 
-/// Events per second, smoothed over the last seconds. Owns the rate and the time of the last event.
+/// Events per second, averaged over a decaying time window. Owns the rate and the time of the last event.
 class DecayingRate {
  public:
-  /// @param time_constant_s Seconds after which an event counts for 1/e of its first weight.
+  /// @param time_constant_s Time in which the weight of an event decays to 1/e, s.
   explicit DecayingRate(double time_constant_s) : time_constant_s_(time_constant_s) {}
 
   /// Events per second.
--- a/src/statistics/ewma.h
+++ b/src/statistics/ewma.h
@@ -7,14 +7,15 @@
 
 namespace nettleyoke {
 
-/// Moving average and mean deviation of a series. The first samples count for more than the gain says, so
-/// that the initial value is soon replaced.
+/// Moving average and mean deviation of a series. The first samples have more weight than the minimum gain,
+/// so that they soon replace the initial value.
 struct Ewma {
   double mean = 0;
   double deviation = 0;  ///< Mean absolute deviation.
-  double samples = 0;    ///< How many were added.
+  double samples = 0;    ///< Number of samples added.
 
-  /// @param minimum_gain Weight of one sample once many were added, 0 to 1. 0: the plain mean of all.
+  /// Adds one sample.
+  /// @param minimum_gain Weight of one sample after many, 0 to 1; 0: the plain mean of all samples.
   void add(double value, double minimum_gain) {
     samples += 1;
     const double gain = std::max(minimum_gain, 1 / (samples + 1));
--- a/src/statistics/infinity.h
+++ b/src/statistics/infinity.h
@@ -1,12 +1,12 @@
 /// @file
-/// The one name for "no bound" and "never happened" in the decision library.
+/// The value for "no limit" and "never happened" in the decision library.
 #pragma once
 
 #include <limits>
 
 namespace nettleyoke {
 
-/// As a limit: unlimited. As a time, with a minus sign: never happened.
+/// As a limit: unlimited. Negated, as a time: never happened.
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
 }  // namespace nettleyoke
--- a/tests/unit/admission_parts_test.cpp
+++ b/tests/unit/admission_parts_test.cpp
@@ -127,11 +127,11 @@
 
 TEST(LoadSheddingLog, SumsUpRejectionsInOneLinePerPeriod) {
   LoadSheddingLog log;
-  EXPECT_FALSE(log.note(100, ShedReason::kThrottled));
-  EXPECT_FALSE(log.note(109.9, ShedReason::kNoCapacity));
-  EXPECT_EQ(log.note(110, ShedReason::kThrottled),
+  EXPECT_FALSE(log.record_rejection(100, ShedReason::kThrottled));
+  EXPECT_FALSE(log.record_rejection(109.9, ShedReason::kNoCapacity));
+  EXPECT_EQ(log.record_rejection(110, ShedReason::kThrottled),
             "load shedding: 2 over their tenant's rate limit, 1 without a server with capacity");
-  EXPECT_FALSE(log.note(110.1, ShedReason::kThrottled));
+  EXPECT_FALSE(log.record_rejection(110.1, ShedReason::kThrottled));
 }
 
 }  // namespace
--- a/tests/unit/attempt_parts_test.cpp
+++ b/tests/unit/attempt_parts_test.cpp
@@ -128,7 +128,7 @@
   classes.replace(settings);
   EXPECT_EQ(classes.at(1)->latency.mean(), learned);
   EXPECT_NE(classes.at(0)->latency.mean(), learned);
-  EXPECT_EQ(classes.at(99)->rules.client_timeout, kInfinity) << "requests without a class";
+  EXPECT_EQ(classes.at(99)->class_settings.client_timeout, kInfinity) << "requests without a class";
 }
 
 }  // namespace
--- a/tests/unit/balancer_admission_test.cpp
+++ b/tests/unit/balancer_admission_test.cpp
@@ -65,7 +65,7 @@
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
   EXPECT_NEAR(statistics.suppression_factor, 1 - statistics.rate_limit / (4 * limit), 0.05);
-  EXPECT_GT(statistics.declined, 0);
+  EXPECT_GT(statistics.rejected, 0);
 }
 
 // Servers that fail at any load must not cut tenants down to a part of their quota.
@@ -170,7 +170,7 @@
       replica.end_attempt("r" + std::to_string(i), Outcome::kSucceeded);
   }
   EXPECT_GT(rejected, 300);
-  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, rejected);
+  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).rejected, rejected);
 }
 
 TEST(RateLimit, RisesWhileRequestsSucceedInTime) {
--- a/tests/unit/decision_digest_test.cpp
+++ b/tests/unit/decision_digest_test.cpp
@@ -104,7 +104,7 @@
     for (std::size_t tenant = 0; tenant < 4; ++tenant) {
       const TenantStatistics view = balancer.tenant(now, tenant);
       text += " " + text_of(view.rate_limit) + " " + text_of(view.suppression_factor) + " " +
-              text_of(view.total) + " " + text_of(view.declined);
+              text_of(view.total) + " " + text_of(view.rejected);
     }
     digest_.add(text + "\n");
   }
--- a/tests/unit/membership_parts_test.cpp
+++ b/tests/unit/membership_parts_test.cpp
@@ -19,7 +19,7 @@
   registry.add_reference(1);
   registry.update(101, members(1), random);
   EXPECT_EQ(registry.tracked_count(), 2U);
-  EXPECT_FALSE(registry[1].may_get_calls());
+  EXPECT_FALSE(registry[1].accepts_attempts());
   registry.release_reference(1);
   EXPECT_EQ(registry.tracked_count(), 1U);
   registry.update(102, {MembershipUpdate::Form::kChanges, {server(7)}}, random);
@@ -32,10 +32,10 @@
   RandomSource random(1);
   EXPECT_FALSE(registry.set_admin_state(99, {"s0", false}, random)) << "not known yet";
   registry.update(100, members(2), random);
-  EXPECT_FALSE(registry[0].may_get_calls());
+  EXPECT_FALSE(registry[0].accepts_attempts());
   EXPECT_EQ(registry.unavailable_count(100), 1U);
   EXPECT_TRUE(registry.set_admin_state(101, {"s0", true}, random));
-  EXPECT_TRUE(registry[0].may_get_calls());
+  EXPECT_TRUE(registry[0].accepts_attempts());
   EXPECT_FALSE(registry.set_admin_state(102, {"s0", true}, random)) << "nothing changes";
 }
 
@@ -61,7 +61,7 @@
     subset.rebuild(registry);
     slow_start.configure(settings);
     tier_limit.configure(settings);
-    tier_limit.on_membership(100);
+    tier_limit.record_membership_update(100);
     selector.configure(settings);
     RequestClassTable classes;
     classes.replace(settings);
--- a/tests/unit/server_state_parts_test.cpp
+++ b/tests/unit/server_state_parts_test.cpp
@@ -130,13 +130,13 @@
     limit.record_recent_latency(0.1);
   }
   ASSERT_TRUE(limit.is_measured());
-  EXPECT_FALSE(limit.update_slow());
+  EXPECT_FALSE(limit.update_slow_state());
   for (int i = 0; i < 20; ++i) limit.record_recent_latency(0.3);
-  EXPECT_TRUE(limit.update_slow());
-  EXPECT_FALSE(limit.update_slow()) << "it has been slow before";
+  EXPECT_TRUE(limit.update_slow_state());
+  EXPECT_FALSE(limit.update_slow_state()) << "it has been slow before";
   for (int i = 0; i < 4; ++i) limit.record_recent_latency(0.1);
   EXPECT_TRUE(limit.is_slower_than_idle());
-  EXPECT_FALSE(limit.update_slow());
+  EXPECT_FALSE(limit.update_slow_state());
 }
 
 TEST(TierConcurrencyLimit, OnlyTheFirstTierIsLimitedAndDraws) {
@@ -147,7 +147,7 @@
   TierConcurrencyLimit second;
   second.configure(settings);
   for (TierConcurrencyLimit* limit : {&first, &second}) {
-    limit->on_membership(0);
+    limit->record_membership_update(0);
     for (int i = 0; i < 10; ++i) limit->add_in_flight();
   }
   RandomSource random(1);
@@ -160,11 +160,11 @@
 TEST(OverloadBound, DropsBelowTheCallsInFlightAndRisesAgain) {
   OverloadBound bound;
   EXPECT_EQ(bound.at(100), kInfinity);
-  EXPECT_DOUBLE_EQ(bound.drop(100, 20), 18);
-  EXPECT_FALSE(bound.may_drop(101));
-  EXPECT_TRUE(bound.may_drop(102.1));
+  EXPECT_DOUBLE_EQ(bound.lower(100, 20), 18);
+  EXPECT_FALSE(bound.may_lower(101));
+  EXPECT_TRUE(bound.may_lower(102.1));
   EXPECT_NEAR(bound.at(140), 18 * 2.71828, 0.01);
-  EXPECT_EQ(bound.drop(200, 0), 1) << "0 would reject all calls for good";
+  EXPECT_EQ(bound.lower(200, 0), 1) << "0 would reject all calls for good";
 }
 
 TEST(SlowServerCount, HalfOfTheMeasuredServersAreAnOverload) {
