--- a/src/attempt_results.cpp
+++ b/src/attempt_results.cpp
@@ -24,6 +24,7 @@
   return outcome == Outcome::kRejected || outcome == Outcome::kTimedOut || outcome == Outcome::kConnectFailed;
 }
 
+// A rejection is a sign of load, not of a fault, and does not count.
 void learn_health(double now, const RequestState& request, ServerRecord& server,
                   const AttemptResult& result) {
   if (result.outcome == Outcome::kRejected) return;
--- a/src/capacity/idle_latency.cpp
+++ b/src/capacity/idle_latency.cpp
@@ -15,7 +15,7 @@
 constexpr double kSettleSeconds = 3;
 // Weight of one response.
 constexpr double kResponseGain = 0.02;
-// Time in which the idle latency falls to a lower average, and rises to a higher one.
+// Time constants with which the idle latency falls to a lower average and rises to a higher one.
 constexpr double kFallSeconds = 5;
 constexpr double kRiseSeconds = 60;
 
