--- a/node/downstream/client_connection.cpp
+++ b/node/downstream/client_connection.cpp
@@ -26,11 +26,11 @@
 
 namespace {
 
-/// Bytes that are passed over after the last answer.
+/// Bytes that are discarded after the last response before the connection is closed.
 constexpr std::size_t kMaxLingeredBytes = std::size_t{256} * 1024;
 
-/// Sends what the socket takes at once.
-/// @return whether that was all.
+/// Sends as many bytes as the socket takes without blocking.
+/// @return whether all bytes were sent.
 bool send_without_waiting(tcp::socket& socket, std::string_view bytes) {
   const ssize_t sent =
       ::send(socket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -47,21 +47,21 @@
       admission_(admission),
       reader_(context.budget) {}
 
-// ---------------------------------------------------------------- life
+// ---------------------------------------------------------------- lifetime
 
 void ClientConnection::start() {
   set_deadline(context_->shutdown.is_closing_connections() ? kLingerTimeout : kFirstRequestTimeout);
   start_next_request();
 }
 
-bool ClientConnection::may_follow(State from, State to) {
+bool ClientConnection::is_valid_transition(State from, State to) {
   switch (to) {
     case State::kReading:
       return from == State::kReading || from == State::kWriting || from == State::kPausing;
-    case State::kAwaitingAnswer:
+    case State::kAwaitingFinalAnswer:
       return from == State::kReading;
     case State::kWriting:
-      return from == State::kReading || from == State::kAwaitingAnswer;
+      return from == State::kReading || from == State::kAwaitingFinalAnswer;
     case State::kPausing:
     case State::kLingering:
       return from == State::kWriting;
@@ -72,15 +72,15 @@
 }
 
 void ClientConnection::enter(State next) {
-  assert(may_follow(state_, next));
+  assert(is_valid_transition(state_, next));
   state_ = next;
 }
 
 void ClientConnection::close() {
   if (state_ == State::kClosed) return;
-  const bool is_answer_due = state_ == State::kAwaitingAnswer;
+  const bool is_final_answer_due = state_ == State::kAwaitingFinalAnswer;
   enter(State::kClosed);
-  eviction_place_.leave();
+  eviction_entry_.remove();
   cancel_timer(deadline_);
   cancel_timer(disconnect_poll_);
   error_code ignored;
@@ -88,18 +88,18 @@
   abort_bodies();
   ConnectionContext* context = std::exchange(context_, nullptr);
   if (context == nullptr) return;
-  if (is_answer_due) context->dispatcher.on_client_disconnected(request_id_);
+  if (is_final_answer_due) context->dispatcher.on_client_disconnected(request_id_);
   accounting_.end(context->metrics, RequestResult::kFailed);
-  context->admission.on_connection_closed(*this);  // this may be its end
+  context->admission.on_connection_closed(*this);  // may destroy this connection
 }
 
 void ClientConnection::detach() {
-  eviction_place_.leave();
+  eviction_entry_.remove();
   abort_bodies();
   context_ = nullptr;
 }
 
-// The other sides learn that nobody is here any more.
+// Notifies the server side of both pipes that this connection neither sends nor reads any more.
 void ClientConnection::abort_bodies() {
   reader_.abort_upload();
   writer_.close_source();
@@ -124,7 +124,7 @@
 
 void ClientConnection::evict() {
   if (reader_.has_begun()) {
-    HttpResponse response = overload_response(context_->rules.busy_retry_after);
+    HttpResponse response = overload_response(context_->rules.overload_retry_after);
     response.keep_alive(false);
     response.prepare_payload();
     std::ostringstream text;
@@ -149,18 +149,21 @@
 
 void ClientConnection::on_deadline() {
   if (context_ == nullptr) return;
-  // The last turn before a node closes its connections may have read the next request already.
+  // The next request may have been read just before a graceful shutdown began to close connections: it is
+  // still served.
   const bool is_closing = context_->shutdown.is_closing_connections();
   if (state_ == State::kPausing && (!is_closing || reader_.has_read_ahead())) {
     set_deadline(is_closing ? kLingerTimeout : kIdleTimeout);
     return start_next_request();
   }
   if (state_ == State::kReading && reader_.has_begun()) {
-    return reject({http::status::request_timeout, "request too slow"}, Framing::kLost);
+    return reject(
+        {http::status::request_timeout, "request is incomplete at its read deadline; it must arrive sooner"},
+        Framing::kLost);
   }
-  // What has come in this very instant is read next.
+  // Bytes that arrived just before the deadline still count: they are read next.
   if (state_ == State::kReading && has_unread_bytes()) return set_deadline(kLingerTimeout);
-  if (state_ != State::kAwaitingAnswer || reader_.is_uploading()) close();
+  if (state_ != State::kAwaitingFinalAnswer || reader_.is_uploading()) close();
 }
 
 // ---------------------------------------------------------------- reading
@@ -175,23 +178,24 @@
     track_as_evictable();
     if (!reader_.has_begun()) reader_.shrink_read_ahead();
   }
-  read();  // the request may have come out of what was read ahead, and freed buffer space
+  read();  // parsing may have consumed read-ahead bytes and freed buffer space
 }
 
 void ClientConnection::track_as_evictable() {
   Evictions& queue = context_->admission.eviction_queue();
   if (has_sent_valid_request_) {
-    if (!reader_.has_begun()) queue.add(Evictions::Kind::kIdle, *this, eviction_place_);
-  } else if (!eviction_place_.is_taken()) {
-    queue.add(Evictions::Kind::kUnproven, *this, eviction_place_);
+    if (!reader_.has_begun()) queue.add(Evictions::Kind::kIdle, *this, eviction_entry_);
+  } else if (!eviction_entry_.is_queued()) {
+    queue.add(Evictions::Kind::kUnproven, *this, eviction_entry_);
   }
 }
 
 void ClientConnection::read() {
   if (pending_read_ != PendingRead::kNone || state_ == State::kClosed) return;
   if (!reader_.has_room_for_read()) return poll_disconnect();
-  // What has come already is read at once and handed over in a later turn of the loop. Up to then it is
-  // neither in the socket nor in the reader, and the connection would look idle.
+  // Bytes that are available now are read at once, but the handler runs in a later event loop iteration.
+  // Until then they are neither in the socket nor in the reader, and without kHasBytes the connection would
+  // look idle.
   pending_read_ = has_unread_bytes() ? PendingRead::kHasBytes : PendingRead::kWaiting;
   socket_.async_read_some(reader_.receive_buffer(),
                           [self = shared_from_this()](error_code error, std::size_t size) {
@@ -202,7 +206,7 @@
 
 void ClientConnection::on_read(error_code error, std::size_t size) {
   if (context_ == nullptr || state_ == State::kClosed) return;
-  // A client that closes its side has gone, whatever it still has a right to.
+  // A client that closes its sending side counts as disconnected, although HTTP lets it still read responses.
   if (error) {
     is_disconnected_ = true;
     if (state_ != State::kWriting || writer_.is_relaying()) close();
@@ -220,40 +224,40 @@
   read();
 }
 
-// While nothing is read, no read tells of a client that disconnects.
+// Polls for a client disconnect, because no read is pending that would report it.
 void ClientConnection::poll_disconnect() {
-  if (is_polling_disconnect_ || state_ != State::kAwaitingAnswer) return;
+  if (is_polling_disconnect_ || state_ != State::kAwaitingFinalAnswer) return;
   is_polling_disconnect_ = true;
   disconnect_poll_.expires_after(kDisconnectPollInterval);
   disconnect_poll_.async_wait([self = shared_from_this()](error_code) {
     self->is_polling_disconnect_ = false;
-    if (self->context_ == nullptr || self->state_ != State::kAwaitingAnswer) return;
+    if (self->context_ == nullptr || self->state_ != State::kAwaitingFinalAnswer) return;
     if (self->has_disconnected()) return self->close();
     self->read();
   });
 }
 
-// Also behind bytes that are not read yet.
+// Detects a disconnect even if bytes that precede it have not been read yet.
 bool ClientConnection::has_disconnected() {
   if (is_disconnected_) return true;
   pollfd socket_state{socket_.native_handle(), POLLRDHUP, 0};
   return ::poll(&socket_state, 1, 0) > 0 && (socket_state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-// What a client wrote before it left is read before its end is, and may have waited for long: in the
-// listener's queue while there was no capacity, or in a loop that runs late. It would be forwarded for
-// nobody.
+// A client may have disconnected although its request was just read: the bytes are read before the end of the
+// stream, and they may have waited in the listener's queue while there was no capacity, or in a delayed event
+// loop. Forwarding such a request would be useless work for a server.
 bool ClientConnection::is_abandoned() {
-  if (state_ != State::kAwaitingAnswer) return true;
+  if (state_ != State::kAwaitingFinalAnswer) return true;
   if (!has_disconnected()) return false;
   asio::post(socket_.get_executor(), [weak = weak_from_this()] {
     const auto self = weak.lock();
-    if (self && self->state_ == State::kAwaitingAnswer) self->close();
+    if (self && self->state_ == State::kAwaitingFinalAnswer) self->close();
   });
   return true;
 }
 
-// Up to the end of one request, or as far as its body can be taken in.
+// Parses up to the end of one request, or as much of its body as can be buffered or streamed now.
 void ClientConnection::parse_read_ahead() {
   while ((state_ == State::kReading || reader_.has_writable_upload()) && reader_.has_read_ahead()) {
     if (reader_.mark_begun()) on_request_begun();
@@ -266,17 +270,20 @@
   }
 }
 
-// The first request's time runs from the accept.
+// The deadline of the first request is set when the connection is accepted and stays as it is.
 void ClientConnection::on_request_begun() {
   if (!has_sent_valid_request_) return;
-  eviction_place_.leave();
+  eviction_entry_.remove();
   set_deadline(kRequestHeadTimeout);
 }
 
-// Checks what the head says of the body, before the body has come.
+// Checks the head's body length and Expect field before the body is read.
 bool ClientConnection::accept_head() {
   if (is_length_ambiguous(reader_.head())) {
-    reject({http::status::bad_request, "ambiguous length"}, Framing::kLost);
+    reject({http::status::bad_request,
+            "body length is ambiguous; the head must have at most one of Content-Length (one number) and "
+            "Transfer-Encoding (chunked, HTTP/1.1 only)"},
+           Framing::kLost);
     return false;
   }
   if (boost::beast::iequals(reader_.head()[http::field::expect], "100-continue") && !send_continue()) {
@@ -287,20 +294,20 @@
   return true;
 }
 
-// A write that is still pending when the answer's begins would mix with it. Nothing else is being written
-// now, so that so few bytes are sent at once or not at all.
+// Sends without an asynchronous write, which could still be pending when the response begins and would mix
+// with it. Nothing else is being written now, so the socket takes these few bytes at once or the send fails.
 bool ClientConnection::send_continue() {
   return send_without_waiting(socket_, "HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-// Buffers or streams so many bytes of the body; false where the request is not read on.
+// Buffers or streams `size` bytes of the body. Returns false if the rest of the request must not be parsed.
 bool ClientConnection::accept_body(std::size_t size) {
   reader_.store_body(std::span<const char>(context_->body_chunk).first(size));
   if (reader_.is_head_complete() && !reader_.is_complete()) {
     set_deadline(Clock::span(reader_.time_for_next_body_bytes().count()));
   }
   if (reader_.is_uploading()) {
-    if (!reader_.has_writable_upload()) wait_for_upload();
+    if (!reader_.has_writable_upload()) wait_for_upload_space();
     return true;
   }
   switch (reader_.place_body()) {
@@ -318,13 +325,14 @@
   return false;
 }
 
-// The server is slower than the client, whose deadline rests: it can't help it.
-void ClientConnection::wait_for_upload() {
+// Suspends the client's deadline until the pipe has space: the server is slower than the client, which must
+// not time out for that.
+void ClientConnection::wait_for_upload_space() {
   cancel_timer(deadline_);
   reader_.upload()->when_writable([weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self || self->context_ == nullptr || !self->reader_.is_uploading()) return;
-    if (self->reader_.upload()->is_reader_closed()) return;  // the answer is on its way
+    if (self->reader_.upload()->is_reader_closed()) return;  // the response is about to begin
     self->set_deadline(kMaxBodyPause);
     self->parse_read_ahead();
     self->read();
@@ -332,7 +340,7 @@
 }
 
 void ClientConnection::finish_upload() {
-  if (has_disconnected()) return close();  // so that the server never has the complete request
+  if (has_disconnected()) return close();  // the server must not get the complete request
   cancel_timer(deadline_);
   reader_.finish_upload();
   accounting_.start(context_->metrics);
--- a/node/downstream/client_connection.h
+++ b/node/downstream/client_connection.h
@@ -1,7 +1,8 @@
 /// @file
-/// One client's connection, from its accept to its close: reads requests one after the other, has each
-/// dispatched, and writes its answer. Owns the socket, the state and the deadlines; leaves the parsing to
-/// RequestReader and the answers' bytes to ResponseWriter. Decides nothing on requests beyond their form.
+/// One client connection, from accept to close: reads requests one at a time, passes each to the dispatcher
+/// and writes its response. Owns the socket, the connection state and the timers; RequestReader parses the
+/// requests and ResponseWriter writes the responses. Checks only whether a request is well-formed and whether
+/// there is capacity for it; the dispatcher decides everything else.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -20,17 +21,17 @@
 
 namespace nettleyoke::node {
 
-/// Notices a client that disconnects by a read, or by polling while it can't read; keeps what comes before
-/// its turn, up to a bound.
+/// Detects a client disconnect through a pending read, or by polling while its buffers are full and it cannot
+/// read. Buffers pipelined requests up to a limit while an earlier request is in progress.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   using List = std::list<std::shared_ptr<ClientConnection>>;
   using Evictions = EvictionQueue<ClientConnection>;
 
-  /// Whether what the client asks for is served.
+  /// Whether the client's requests are served.
   enum class Admission {
     kAdmitted,
-    kRejected,  ///< there are too many: its first request is answered with an overload, and it is closed
+    kRejected,  ///< too many connections: its first request gets an overload response, then it is closed
   };
 
   ClientConnection(ConnectionContext& context, boost::asio::ip::tcp::socket socket, Admission admission);
@@ -38,48 +39,48 @@
   /// Waits for the first request.
   void start();
 
-  /// Its place in the list of its owner.
+  /// Iterator to this connection in its owner's list.
   void set_position(List::iterator position) { position_ = position; }
   List::iterator position() const { return position_; }
 
-  /// Whether it has sent nothing of a request for at least so long.
+  /// Whether the reader has been waiting for the first byte of a request for at least `period`.
   bool is_quiet_for(Clock::Steady::duration period) const;
-  /// Whether bytes of it have come that are not read yet.
+  /// Whether the client has sent bytes that have not been handed to the reader yet.
   bool has_unread_bytes();
-  /// Closes it for others. A client that has begun a request is sent an overload answer, as far as that
-  /// goes without waiting.
+  /// Closes this connection to make capacity for another one. A client that has begun a request is sent an
+  /// overload response first, as far as the socket takes it without blocking.
   void evict();
 
-  /// Whether it waits for a request and nothing of one has come.
+  /// Whether it waits for a request and has received no byte of one.
   bool is_idle() const;
-  /// Whether its first request may be on its way.
+  /// Whether the client has sent no valid request yet and may be about to send its first one.
   bool is_first_request_expected() const;
-  /// What has not sent a request soon is closed.
+  /// Closes the connection unless a request arrives soon; has no effect while a request is being served.
   void shorten_deadline();
-  /// Closes it without an answer; does nothing where it is closed. Its owner drops it.
+  /// Closes the connection without a response and has the owner drop it. No effect if already closed.
   void close();
-  /// Its owner ends before it: it forgets the context, and nothing happens on it any more.
+  /// Called when the owner is destroyed first: clears the context, after which handlers do nothing.
   void detach();
 
  private:
   enum class State {
-    kReading,         ///< waits for a request, or is in the midst of one
-    kAwaitingAnswer,  ///< a request is dispatched, though its body may still be arriving
-    kWriting,         ///< an answer is being written
-    kPausing,         ///< after an error of the client's: reads no request for a while
-    kLingering,       ///< its last answer is written; passes over what still comes
+    kReading,              ///< waits for a request or is receiving one
+    kAwaitingFinalAnswer,  ///< a request is dispatched, though its body may still be arriving
+    kWriting,              ///< a response is being written
+    kPausing,              ///< after a client error: reads no request for a while
+    kLingering,            ///< the last response is written; discards what the client still sends
     kClosed,
   };
   /// The one read that may be pending on the socket.
   enum class PendingRead {
     kNone,
     kWaiting,
-    kHasBytes,  ///< what had come already was read at once, and is handed over in a later turn of the loop
+    kHasBytes,  ///< bytes were available when it started; its handler runs in a later event loop iteration
   };
-  /// Whether the end of a rejected request is known.
+  /// Whether it is known where a rejected request ends, so that the next one can be parsed.
   enum class Framing { kIntact, kLost };
 
-  static bool may_follow(State from, State to);
+  static bool is_valid_transition(State from, State to);
   void enter(State next);
   void set_deadline(Clock::Steady::duration from_now);
   void on_deadline();
@@ -99,21 +100,21 @@
   [[nodiscard]] bool accept_head();
   [[nodiscard]] bool send_continue();
   [[nodiscard]] bool accept_body(std::size_t size);
-  void wait_for_upload();
+  void wait_for_upload_space();
   void finish_upload();
 
   // Requests.
   void handle_request();
-  void answer_health_check(boost::beast::http::verb method);
+  void respond_to_health_check(boost::beast::http::verb method);
   [[nodiscard]] std::optional<RequestError> validate(const HttpRequest& request, Request& event) const;
   [[nodiscard]] bool must_reject(const Request& event) const;
   void forward(HttpRequest&& request, Request&& event, const std::shared_ptr<ForwardedRequest>& forwarded);
 
-  // Answers.
-  void on_answer(FinalAnswer&& answer);
+  // Responses.
+  void on_final_answer(FinalAnswer&& answer);
   void reject(const RequestError& error, Framing framing);
   void reject_overload();
-  void begin_answer();
+  void begin_response();
   void respond(HttpResponse&& response);
   void on_response_written();
   void relay(FinalAnswer&& answer);
@@ -132,16 +133,16 @@
   bool is_polling_disconnect_ = false;
   bool is_disconnected_ = false;  // the client has closed its side
   bool has_sent_valid_request_ = false;
-  bool is_keep_alive_ = true;           // may go on after the answer
-  bool is_pause_due_ = false;           // after the answer
-  bool is_request_incomplete_ = false;  // the answer began before the request's last byte
+  bool is_keep_alive_ = true;           // the connection stays open after the response
+  bool is_pause_due_ = false;           // pause reading after the response
+  bool is_request_incomplete_ = false;  // the response began before the request's last byte
   RequestReader reader_;
   ResponseWriter writer_;
   RequestAccounting accounting_;
-  Evictions::Place eviction_place_;
+  Evictions::Entry eviction_entry_;
   List::iterator position_;
   std::size_t lingered_bytes_ = 0;
-  Clock::Steady::time_point quiet_since_;  // when it was last ready for a request
+  Clock::Steady::time_point quiet_since_;  // when it last began to wait for a request
   std::string request_id_;
 };
 
--- a/node/downstream/client_connection_requests.cpp
+++ b/node/downstream/client_connection_requests.cpp
@@ -1,4 +1,4 @@
-// How a client's connection has its requests dispatched, and writes the answers.
+// The part of ClientConnection that dispatches requests and writes responses.
 #include <algorithm>
 #include <cstddef>
 #include <memory>
@@ -24,7 +24,7 @@
 void ClientConnection::handle_request() {
   HttpRequest request = reader_.take_request();
   is_keep_alive_ = request.keep_alive();
-  if (path_of(request) == "/_health") return answer_health_check(request.method());
+  if (path_of(request) == "/_health") return respond_to_health_check(request.method());
   Request event;
   if (const auto error = validate(request, event)) {
     return reject(*error, reader_.is_uploading() ? Framing::kLost : Framing::kIntact);
@@ -33,21 +33,23 @@
   accounting_.accept(context_->rules.catalog.class_names[event.request_class]);
   if (!reader_.is_uploading()) accounting_.start(context_->metrics);
   const auto forwarded = std::make_shared<ForwardedRequest>(context_->budget);
-  reader_.reserve_with_answer(0);  // the body's memory goes with the request
+  reader_.reserve_with_response(0);  // `forwarded` reserves the body's memory
   if (!forwarded->reserve_for(request)) return reject_overload();
-  if (context_->shutdown.is_draining()) {
-    event.time_left = std::min(event.time_left, context_->shutdown.time_until_last_answer().count());
+  if (context_->shutdown.is_shutting_down()) {
+    event.time_left = std::min(event.time_left, context_->shutdown.time_until_last_response().count());
   }
   if (must_reject(event)) return reject_overload();
   forward(std::move(request), std::move(event), forwarded);
 }
 
-void ClientConnection::answer_health_check(http::verb method) {
+void ClientConnection::respond_to_health_check(http::verb method) {
   if (method != http::verb::get && method != http::verb::head) {
-    return reject({http::status::method_not_allowed, "GET only"}, Framing::kLost);
+    return reject(
+        {http::status::method_not_allowed, "method is not allowed for /_health; it must be GET or HEAD"},
+        Framing::kLost);
   }
   has_sent_valid_request_ = true;
-  const bool is_ready = context_->dispatcher.can_serve() && !context_->shutdown.is_draining();
+  const bool is_ready = context_->dispatcher.can_serve() && !context_->shutdown.is_shutting_down();
   respond(is_ready ? text_response(http::status::ok, "ok\n")
                    : text_response(http::status::service_unavailable, "not ready\n"));
 }
@@ -59,14 +61,15 @@
                                        : AcceptedClasses::kInForce;
   if (auto error = validate_request(request, rules.catalog, accepted, event)) return error;
   if (!context_->dispatcher.is_open(event.id)) return std::nullopt;
-  return RequestError{http::status::bad_request, "X-Request-ID is that of an open request"};
+  return RequestError{http::status::bad_request,
+                      "X-Request-ID is in use by an open request; it must be unique"};
 }
 
 bool ClientConnection::must_reject(const Request& event) const {
-  const bool is_last_free_connection = context_->shutdown.is_draining() &&
+  const bool is_short_of_connections = context_->shutdown.is_shutting_down() &&
                                        !context_->admission.is_listener_inherited() &&
                                        context_->admission.is_short_of_free_connections();
-  return admission_ == Admission::kRejected || is_last_free_connection || event.time_left <= 0;
+  return admission_ == Admission::kRejected || is_short_of_connections || event.time_left <= 0;
 }
 
 void ClientConnection::forward(HttpRequest&& request, Request&& event,
@@ -79,19 +82,19 @@
     const auto self = weak.lock();
     return !self || self->is_abandoned();
   };
-  enter(State::kAwaitingAnswer);
-  eviction_place_.leave();
+  enter(State::kAwaitingFinalAnswer);
+  eviction_entry_.remove();
   if (!reader_.is_uploading()) cancel_timer(deadline_);
   context_->dispatcher.accept(std::move(event), {forwarded, &forwarded->outgoing},
                               [weak = weak_from_this()](FinalAnswer&& answer) {
-                                if (const auto self = weak.lock()) self->on_answer(std::move(answer));
+                                if (const auto self = weak.lock()) self->on_final_answer(std::move(answer));
                               });
 }
 
-// ---------------------------------------------------------------- answers
+// ---------------------------------------------------------------- responses
 
-void ClientConnection::on_answer(FinalAnswer&& answer) {
-  if (state_ != State::kAwaitingAnswer || context_ == nullptr) return;
+void ClientConnection::on_final_answer(FinalAnswer&& answer) {
+  if (state_ != State::kAwaitingFinalAnswer || context_ == nullptr) return;
   switch (answer.kind) {
     case FinalAnswer::Kind::kServed:
       remove_hop_by_hop_fields(answer.response);
@@ -104,20 +107,21 @@
   }
 }
 
-// An error of the client's. After one that leaves the framing in doubt nothing more is read as requests.
+// Responds with a client error. If the framing is lost, the connection closes after the response, because the
+// start of the next request is unknown.
 void ClientConnection::reject(const RequestError& error, Framing framing) {
   if (framing == Framing::kLost) is_keep_alive_ = false;
-  // Its body went wrong on the way.
-  if (state_ == State::kAwaitingAnswer) context_->dispatcher.on_client_disconnected(request_id_);
+  // The error occurred in a body that is being streamed for a dispatched request.
+  if (state_ == State::kAwaitingFinalAnswer) context_->dispatcher.on_client_disconnected(request_id_);
   is_pause_due_ = true;
   respond(text_response(error.status, std::string(error.reason) + "\n"));
 }
 
-void ClientConnection::reject_overload() { respond(overload_response(context_->rules.busy_retry_after)); }
+void ClientConnection::reject_overload() { respond(overload_response(context_->rules.overload_retry_after)); }
 
-// Whatever the answer is, it is the end of the request.
-void ClientConnection::begin_answer() {
-  if (has_sent_valid_request_) eviction_place_.leave();
+// Ends the request: from here on nothing more of its body is taken, even if it is incomplete.
+void ClientConnection::begin_response() {
+  if (has_sent_valid_request_) eviction_entry_.remove();
   enter(State::kWriting);
   accounting_.start(context_->metrics);
   is_request_incomplete_ = !reader_.is_complete() && reader_.is_head_complete();
@@ -130,8 +134,8 @@
 }
 
 void ClientConnection::respond(HttpResponse&& response) {
-  begin_answer();
-  reader_.reserve_with_answer(response.body().size());
+  begin_response();
+  reader_.reserve_with_response(response.body().size());
   writer_.prepare(std::move(response), is_keep_alive_);
   set_deadline(kWriteTimeout);
   writer_.async_write(socket_, [self = shared_from_this()](error_code error, std::size_t) {
@@ -144,24 +148,24 @@
 void ClientConnection::on_response_written() {
   accounting_.end(context_->metrics, result_of(writer_.status()));
   writer_.release();
-  reader_.reserve_with_answer(0);
+  reader_.reserve_with_response(0);
   if (is_disconnected_) return close();
   if (!is_keep_alive_) return linger();
   if (std::exchange(is_pause_due_, false)) {
-    // A client that sends the same error again and again at full speed would take the loop from the others:
-    // it is read from now and then.
+    // A client that repeats an error at full speed would keep the event loop from serving other clients:
+    // pause before reading its next request.
     enter(State::kPausing);
     return set_deadline(kErrorPause);
   }
-  // A connection that stays open when the process is killed is lost together with what was sent on it by
-  // then.
+  // A request that arrives just before the process is killed is lost together with its connection. Therefore
+  // a connection stays open only briefly at the end of a graceful shutdown.
   set_deadline(context_->shutdown.is_closing_connections() ? kLingerTimeout : kIdleTimeout);
   start_next_request();
 }
 
-// Passes a large answer on as it comes.
+// Relays a large response as it arrives from the server.
 void ClientConnection::relay(FinalAnswer&& answer) {
-  begin_answer();
+  begin_response();
   is_keep_alive_ = writer_.prepare_relay(std::move(answer.response), std::move(answer.body),
                                          reader_.head().version(), is_keep_alive_);
   set_deadline(kWriteTimeout);
@@ -175,16 +179,17 @@
   const ResponseWriter::Chunk chunk = writer_.next_chunk();
   if (chunk == ResponseWriter::Chunk::kAborted) return abort_response();
   if (chunk == ResponseWriter::Chunk::kNotYet) {
-    cancel_timer(deadline_);  // it is the server that is waited for
+    cancel_timer(deadline_);  // waiting for the server, not for the client
     return writer_.when_chunk_available([weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->relay_next({});
     });
   }
   const bool is_last = chunk == ResponseWriter::Chunk::kEnd;
   set_deadline(kWriteTimeout);
-  writer_.async_write_chunk(socket_, [self = shared_from_this(), is_last](error_code problem, std::size_t) {
-    is_last ? self->on_relay_written(problem) : self->relay_next(problem);
-  });
+  writer_.async_write_chunk(socket_,
+                            [self = shared_from_this(), is_last](error_code write_error, std::size_t) {
+                              is_last ? self->on_relay_written(write_error) : self->relay_next(write_error);
+                            });
 }
 
 void ClientConnection::on_relay_written(error_code error) {
@@ -194,19 +199,19 @@
   on_response_written();
 }
 
-// The server gave up in the midst. Where the end of the connection is that of the answer, an orderly close
-// would pass the part for the complete answer: the connection is reset.
+// The server aborted within the body. Resets the connection: if the close marks the end of the response, an
+// orderly close would make the partial response look complete.
 void ClientConnection::abort_response() {
   error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   close();
 }
 
-// Closing with unread bytes resets the connection, and the client may lose the answer: what still comes is
-// read for a while.
+// Closing a socket with unread bytes resets the connection, and the client may lose the response. Therefore
+// reads and discards what the client still sends for a while.
 void ClientConnection::linger() {
   enter(State::kLingering);
-  // With a buffer that is full nothing more would be read, and the close would reset the connection.
+  // With a full read-ahead buffer nothing more would be read, and the close would reset the connection.
   reader_.discard_read_ahead();
   error_code error;
   socket_.shutdown(tcp::socket::shutdown_send, error);
--- a/node/downstream/connection_admission.cpp
+++ b/node/downstream/connection_admission.cpp
@@ -20,10 +20,10 @@
 namespace {
 
 constexpr int kListenBacklog = 1024;
-/// After a failed accept.
+/// Delay before accepting again after a failed accept.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{20};
-/// One in so many connections is kept free in a graceful shutdown.
-constexpr std::size_t kConnectionsPerFreeOne = 4;
+/// A graceful shutdown keeps one in this many connections free.
+constexpr std::size_t kConnectionsPerFreeConnection = 4;
 
 }  // namespace
 
@@ -50,14 +50,14 @@
   is_listener_inherited_ = true;
 }
 
-void ConnectionAdmission::leave_inherited_listener() {
+void ConnectionAdmission::close_inherited_listener() {
   error_code ignored;
   acceptor_.close(ignored);
 }
 
 void ConnectionAdmission::accept() {
   if (is_stopping_) return stop_accepting();
-  if (is_accept_pending_ || !acceptor_.is_open() || !has_descriptors()) return;
+  if (is_accept_pending_ || !acceptor_.is_open() || !may_open_connection()) return;
   is_accept_pending_ = true;
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     is_accept_pending_ = false;
@@ -68,12 +68,12 @@
   });
 }
 
-// Handles an accept that failed for want of a descriptor: a listener that stays readable with nothing
-// accepted would spin, and clients in its queue would wait in vain. An evictable connection is closed, or
-// else the reserved descriptor takes one client in, to be rejected: its request may have come already. The
-// system reports the missing descriptor also while the queue is empty. Then the reserved descriptor is taken
-// back at once; left free, it would admit the next client as one that can be served, and leave its attempts
-// without a descriptor.
+// Handles an accept that failed because no descriptor was free. Without this the listener would stay readable
+// and the event loop would spin, while the clients in its queue would wait for nothing. Evicts a connection,
+// or else releases the reserved descriptor to accept one client and reject its request, which may have
+// arrived already. The system reports the missing descriptor even if the queue is empty. In that case the
+// descriptor is reserved again at once: left free, it would admit the next client as one that can be served,
+// and no descriptor would remain for its attempts.
 void ConnectionAdmission::on_accept_failed() {
   const bool has_evicted = eviction_queue_.evict_one();
   if (!has_evicted) release_reserved_descriptor();
@@ -111,25 +111,26 @@
 void ConnectionAdmission::on_connection_closed(const ClientConnection& connection) {
   connections_.erase(connection.position());
   reserve_descriptor();
-  context_.shutdown.finish_if_drained();
+  context_.shutdown.finish_if_complete();
   if (!is_stopping_) return accept();
-  asio::post(io_, [this] { accept(); });  // this may be from within the loop of stop_accepting()
+  asio::post(io_, [this] { accept(); });  // the caller may be the loop in stop_accepting()
 }
 
-// What waits in the queue when the listener closes is reset, whatever has been written to it: it closes once
-// the queue is empty, and goes on as descriptors come free.
+// Closing the listener resets the connections in its queue, even those that have sent a request. Therefore
+// accepts until the queue is empty before closing it. If no descriptor is free, accept() calls this again
+// when a connection has closed.
 void ConnectionAdmission::stop_accepting() {
   is_stopping_ = true;
   error_code error;
   acceptor_.non_blocking(true, error);
-  while (acceptor_.is_open() && (has_descriptors() || eviction_queue_.evict_one())) {
+  while (acceptor_.is_open() && (may_open_connection() || eviction_queue_.evict_one())) {
     tcp::socket socket(io_);
     acceptor_.accept(socket, error);
     if (error == asio::error::would_block) acceptor_.close(error);
     if (error) return on_accept_failed();
     if (socket.is_open()) admit(std::move(socket));
   }
-  context_.shutdown.finish_if_drained();
+  context_.shutdown.finish_if_complete();
 }
 
 void ConnectionAdmission::close_idle_connections() {
@@ -146,7 +147,7 @@
 }
 
 bool ConnectionAdmission::is_short_of_free_connections() const {
-  return eviction_queue_.size() < connections_.size() / kConnectionsPerFreeOne;
+  return eviction_queue_.size() < connections_.size() / kConnectionsPerFreeConnection;
 }
 
 void ConnectionAdmission::reserve_descriptor() {
--- a/node/downstream/connection_admission.h
+++ b/node/downstream/connection_admission.h
@@ -1,7 +1,7 @@
 /// @file
-/// Accepts the clients' connections and keeps them within the node's descriptors. Owns the listener, the
-/// connections, the queue of those that may be evicted, and one descriptor in reserve. Reads and answers
-/// nothing.
+/// Accepts client connections and keeps their number within the node's file descriptor limits. Owns the
+/// listener, the connections, the queue of evictable connections, and one descriptor in reserve. Neither
+/// reads requests nor writes responses.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,44 +17,46 @@
 class ConnectionAdmission {
  public:
   struct Limits {
-    std::size_t connections = 0;  ///< beyond it, idle ones are evicted and new ones rejected
-    std::size_t overflow = 0;     ///< how many more may be open; beyond, nothing is accepted
+    std::size_t connections = 0;  ///< at this number a new one evicts another, or else is rejected
+    std::size_t overflow = 0;     ///< connections that may be open beyond `connections`; then accepting stops
   };
 
-  /// @param context  has to outlive this; need not be complete before start().
+  /// @param context  must outlive this object; need not be fully constructed before start().
   ConnectionAdmission(const Limits& limits, ConnectionContext& context);
-  /// Detaches the connections that are left.
+  /// Detaches the remaining connections.
   ~ConnectionAdmission();
   ConnectionAdmission(const ConnectionAdmission&) = delete;
   ConnectionAdmission& operator=(const ConnectionAdmission&) = delete;
 
-  /// @throws boost::system::system_error when the address can't be listened on.
+  /// @throws boost::system::system_error if listening on the address fails.
   void listen(const boost::asio::ip::tcp::endpoint& address);
-  /// @throws boost::system::system_error when the descriptor is no listener.
+  /// @param listener  descriptor of a listening IPv4 socket.
+  /// @throws boost::system::system_error if the descriptor cannot be used as a listener.
   void serve_on_inherited_listener(int listener);
-  /// Accepts until it is stopped.
+  /// Accepts connections until stop_accepting() or close_inherited_listener().
   void start() { accept(); }
-  /// Accepts what is in the listener's queue, then closes it.
+  /// Accepts the connections in the listener's queue, then closes the listener.
   void stop_accepting();
-  /// Closes an inherited listener at once: others hold it open, and what waits in its queue is theirs.
-  void leave_inherited_listener();
-  /// Closes the connections that no request is expected on, and shortens the deadline of the others.
+  /// Closes an inherited listener at once: other processes hold it open and accept what is in its queue.
+  void close_inherited_listener();
+  /// Closes the connections on which no request is expected, and shortens the deadlines of the others.
   void close_idle_connections();
-  /// A connection has closed; it is dropped.
+  /// Drops a connection that has closed, and resumes accepting if the limits had stopped it.
   void on_connection_closed(const ClientConnection& connection);
 
   ClientConnection::Evictions& eviction_queue() { return eviction_queue_; }
   bool is_listening() const { return acceptor_.is_open(); }
   bool has_connections() const { return !connections_.empty(); }
   bool is_listener_inherited() const { return is_listener_inherited_; }
-  /// Whether fewer connections are free than a graceful shutdown keeps so. No new ones come any more, and
-  /// clients that once find none free turn from the node for good, though it could serve them for seconds.
-  /// Several may send a request before the first that is rejected has its connection back.
+  /// Whether fewer connections are free (without a request) than a graceful shutdown keeps free. During a
+  /// shutdown no new connections come, and a client that finds none free once abandons the node for good,
+  /// though the node could serve it for seconds. More than one is kept free, because several clients may send
+  /// a request before the first rejected one can use its connection again.
   bool is_short_of_free_connections() const;
   boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
  private:
-  bool has_descriptors() const { return connections_.size() < limits_.connections + limits_.overflow; }
+  bool may_open_connection() const { return connections_.size() < limits_.connections + limits_.overflow; }
   void accept();
   void on_accept_failed();
   void admit(boost::asio::ip::tcp::socket socket);
@@ -69,10 +71,10 @@
   Limits limits_;
   ClientConnection::List connections_;
   ClientConnection::Evictions eviction_queue_;
-  int reserved_descriptor_ = -1;  // -1: in use
+  int reserved_descriptor_ = -1;  // -1: released
   bool is_accept_pending_ = false;
   bool is_stopping_ = false;
-  bool is_listener_inherited_ = false;  // a successor serves on it
+  bool is_listener_inherited_ = false;  // other processes listen on it too
 };
 
 }  // namespace nettleyoke::node
--- a/node/downstream/connection_context.h
+++ b/node/downstream/connection_context.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the connections of one listener share. Outlives each connection's use of it: a connection forgets it
-/// when it closes or is detached.
+/// State that all connections of one listener share. Valid for as long as a connection refers to it: a
+/// connection drops its reference when it closes or is detached.
 #pragma once
 
 #include <array>
@@ -17,11 +17,11 @@
 class ConnectionAdmission;
 class GracefulShutdown;
 
-/// What a reload replaces; a request keeps what it was accepted under.
+/// The rules that a reload replaces. A request that was accepted earlier keeps the rules of its acceptance.
 struct RequestRules {
   RequestCatalog catalog;
-  double busy_retry_after = 0;  ///< s; Retry-After of a request that is rejected for want of capacity
-  /// Until then clients may name the classes that were in force before the last reload.
+  double overload_retry_after = 0;  ///< s; Retry-After when rejecting for lack of capacity; 0: none
+  /// Until this time clients may name the request classes that were in force before the last reload.
   Clock::Steady::time_point previous_classes_accepted_until = {};
 };
 
@@ -33,7 +33,7 @@
   ConnectionAdmission& admission;
   GracefulShutdown& shutdown;
   RequestRules rules;
-  /// A part of a body while it is parsed; of use to one connection at a time.
+  /// Receives a part of a body from the parser; used by one connection at a time.
   std::array<char, std::size_t{16} * 1024> body_chunk{};
 };
 
--- a/node/downstream/connection_timeouts.h
+++ b/node/downstream/connection_timeouts.h
@@ -1,29 +1,29 @@
 /// @file
-/// How long a client's connection may stay in each of its states. Only constants.
+/// How long a client connection may stay in each of its states. Constants only.
 #pragma once
 
 #include <chrono>
 
 namespace nettleyoke::node {
 
-/// From the connection to the last byte of its first request. A client that has not sent it by then is
-/// answered or closed within 3 s.
+/// From accepting a connection to the last byte of its first request's head. At this timeout a client that
+/// has begun its request gets a 408 and any other is closed, so that either happens within 3 s.
 constexpr std::chrono::milliseconds kFirstRequestTimeout{2500};
 /// From the first byte of a later request to the end of its head.
 constexpr std::chrono::milliseconds kRequestHeadTimeout{2500};
-/// Between two parts of a body.
+/// Between two parts of a request body.
 constexpr std::chrono::milliseconds kMaxBodyPause{800};
 /// Between two requests.
 constexpr std::chrono::seconds kIdleTimeout{10};
-/// After an error of the client's, before its next request is read.
+/// After a client error, before the next request is read.
 constexpr std::chrono::milliseconds kErrorPause{100};
-/// For a client to take an answer, or the next part of one.
+/// For writing a response, or the next part of a relayed one, to a client.
 constexpr std::chrono::seconds kWriteTimeout{5};
-/// For a client to read the last answer before its connection is closed.
+/// For a client to read the last response before its connection is closed.
 constexpr std::chrono::milliseconds kLingerTimeout{500};
-/// The same for one that is still sending its request.
+/// The same for a client that is still sending its request.
 constexpr std::chrono::milliseconds kIncompleteRequestLingerTimeout{2500};
-/// Between looks at whether a client is there that is not read from while it waits.
+/// Between two checks for a client disconnect while the connection is not being read.
 constexpr std::chrono::milliseconds kDisconnectPollInterval{100};
 
 }  // namespace nettleyoke::node
--- a/node/downstream/downstream_server.cpp
+++ b/node/downstream/downstream_server.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// How long after a reload clients may still name the classes before it.
-constexpr std::chrono::seconds kPreviousClassesAccepted{2};
+/// Time after a reload during which clients may still name the previous classes.
+constexpr std::chrono::seconds kPreviousClassesPeriod{2};
 
 }  // namespace
 
@@ -20,12 +20,12 @@
                metrics,
                admission_,
                shutdown_,
-               {std::move(catalog), limits.busy_retry_after}},
+               {std::move(catalog), limits.overload_retry_after}},
       admission_({limits.connections, limits.overflow}, context_),
       shutdown_(io, admission_, dispatcher) {}
 
-void DownstreamServer::replace_catalog(RequestCatalog catalog, double busy_retry_after) {
-  context_.rules = {std::move(catalog), busy_retry_after, Clock::Steady::now() + kPreviousClassesAccepted};
+void DownstreamServer::replace_catalog(RequestCatalog catalog, double overload_retry_after) {
+  context_.rules = {std::move(catalog), overload_retry_after, Clock::Steady::now() + kPreviousClassesPeriod};
 }
 
 }  // namespace nettleyoke::node
--- a/node/downstream/downstream_server.h
+++ b/node/downstream/downstream_server.h
@@ -1,6 +1,6 @@
 /// @file
-/// The clients' side of a node. Puts its parts together: admission of connections, graceful shutdown, and the
-/// rules that requests are read by. Each connection reads and answers for itself.
+/// The client-facing side of a node. Combines connection admission, graceful shutdown and the rules for
+/// requests. Each ClientConnection reads its own requests and writes its own responses.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,36 +22,38 @@
 class DownstreamServer {
  public:
   struct Limits {
-    std::size_t connections = 0;  ///< beyond it, idle ones are evicted and new ones rejected
-    std::size_t overflow = 0;     ///< how many more may be open; beyond, nothing is accepted
-    double busy_retry_after =
-        0;  ///< s; Retry-After of a request that is rejected for want of capacity; 0: none
+    std::size_t connections = 0;  ///< at this number a new one evicts another, or else is rejected
+    std::size_t overflow = 0;     ///< connections that may be open beyond `connections`; then accepting stops
+    double overload_retry_after = 0;  ///< s; Retry-After when rejecting for lack of capacity; 0: none
   };
 
-  /// @param budget,dispatcher,metrics  have to outlive this.
+  /// @param budget,dispatcher,metrics  must outlive this object.
   DownstreamServer(boost::asio::io_context& io, const Limits& limits, RequestCatalog catalog,
                    MemoryBudget& budget, Dispatcher& dispatcher, Metrics& metrics);
   DownstreamServer(const DownstreamServer&) = delete;
   DownstreamServer& operator=(const DownstreamServer&) = delete;
 
-  /// @throws boost::system::system_error when the address can't be listened on.
+  /// @throws boost::system::system_error if listening on the address fails.
   void listen(const boost::asio::ip::tcp::endpoint& address) { admission_.listen(address); }
-  /// Serves on a listening socket that others hold too: a graceful shutdown leaves what waits there to them.
+  /// Serves on a listening socket that other processes hold too. A graceful shutdown leaves the connections
+  /// in its queue to them.
+  /// @throws boost::system::system_error if the descriptor cannot be used as a listener.
   void serve_on_inherited_listener(int listener) { admission_.serve_on_inherited_listener(listener); }
-  /// Accepts connections from here on.
+  /// Starts accepting connections.
   void start() { admission_.start(); }
-  boost::asio::ip::tcp::endpoint local() const { return admission_.local_endpoint(); }
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return admission_.local_endpoint(); }
 
-  /// Other settings; requests that were accepted go on by the rules they came under.
-  /// @param busy_retry_after  as in Limits.
-  void replace_catalog(RequestCatalog catalog, double busy_retry_after);
+  /// Applies the rules of a reload. Requests that were accepted earlier keep the rules of their acceptance.
+  /// @param overload_retry_after  as in Limits.
+  void replace_catalog(RequestCatalog catalog, double overload_retry_after);
   const RequestCatalog& catalog() const { return context_.rules.catalog; }
 
-  /// Shuts down gracefully: goes on accepting for a while and serving for a while longer, sees to it that all
-  /// that was accepted is answered before the node is killed, and calls `done` when no connection is left.
-  /// With an inherited listener it stops accepting at once, and closes each connection with its next answer.
-  void drain(std::function<void()> done) { shutdown_.start(catalog(), std::move(done)); }
-  bool draining() const { return shutdown_.is_draining(); }
+  /// Keeps accepting connections for a while and serving them a while longer, ensures that each accepted
+  /// request gets its response before the process is killed, and posts `done` when no connection is left.
+  /// With an inherited listener it stops accepting at once and closes each connection after its next
+  /// response.
+  void shut_down_gracefully(std::function<void()> done) { shutdown_.start(catalog(), std::move(done)); }
+  bool is_shutting_down() const { return shutdown_.is_shutting_down(); }
 
  private:
   ConnectionContext context_;
--- a/node/downstream/eviction_queue.h
+++ b/node/downstream/eviction_queue.h
@@ -1,6 +1,6 @@
 /// @file
-/// The connections that may be closed for others, and the order in which they are. Owns none of them and
-/// never touches a socket.
+/// The connections that may be closed to make capacity for new ones, and their order. Does not own the
+/// connections and never uses a socket.
 #pragma once
 
 #include <chrono>
@@ -10,15 +10,14 @@
 
 namespace nettleyoke::node {
 
-/// @tparam Connection  has
-///   - `bool is_quiet_for(std::chrono::steady_clock::duration) const`: whether it has sent nothing of a
-///   request
-///     for at least so long;
-///   - `bool has_unread_bytes()`: whether bytes of it have come that are not read yet;
-///   - `void evict()`: closes it, and takes it out of the queue.
+/// @tparam Connection  must have
+///   - `bool is_quiet_for(std::chrono::steady_clock::duration) const`: whether it has been waiting for the
+///     first byte of a request for at least that long;
+///   - `bool has_unread_bytes()`: whether the client has sent bytes that have not been read yet;
+///   - `void evict()`: closes the connection and removes it from the queue.
 ///
-/// A template, since a virtual call fails in a sanitized build whose process has no descriptor left: to check
-/// the type of the object it opens a pipe.
+/// A template instead of an interface, because a virtual call fails in a sanitized build when the process has
+/// no free descriptor: the sanitizer opens a pipe to check the type of the object.
 template <typename Connection>
 class EvictionQueue {
  public:
@@ -29,17 +28,17 @@
     kIdle,      ///< between two requests
   };
 
-  /// A new connection that has sent nothing for so long is not about to send its first request.
+  /// A new connection that has sent nothing for this long is not expected to send its first request soon.
   static constexpr std::chrono::milliseconds kUnprovenQuietPeriod{500};
-  /// A connection between two requests may be closed after so long, as the operators' terms have it.
+  /// The operators allow closing a connection between two requests after this long.
   static constexpr std::chrono::seconds kIdleQuietPeriod{2};
 
-  /// A connection's place in the queue. The connection takes itself out before it ends.
-  class Place {
+  /// A connection's entry in the queue. The connection must remove it before it is destroyed.
+  class Entry {
    public:
-    bool is_taken() const { return list_ != nullptr; }
-    /// Takes the connection out; does nothing where it is in no list.
-    void leave() {
+    bool is_queued() const { return list_ != nullptr; }
+    /// Removes the connection from the queue; no effect if it is not queued.
+    void remove() {
       if (list_ != nullptr) std::exchange(list_, nullptr)->erase(position_);
     }
 
@@ -53,19 +52,20 @@
   EvictionQueue(const EvictionQueue&) = delete;
   EvictionQueue& operator=(const EvictionQueue&) = delete;
 
-  /// Appends a connection to one list, and takes it out of where it was.
-  void add(Kind kind, Connection& connection, Place& place) {
-    place.leave();
-    place.list_ = kind == Kind::kIdle ? &idle_ : &unproven_;
-    place.position_ = place.list_->insert(place.list_->end(), &connection);
+  /// Removes a connection from its present list, if any, and appends it to the list for `kind`.
+  void add(Kind kind, Connection& connection, Entry& entry) {
+    entry.remove();
+    entry.list_ = kind == Kind::kIdle ? &idle_ : &unproven_;
+    entry.position_ = entry.list_->insert(entry.list_->end(), &connection);
   }
-  /// Evicts the connection that is missed the least.
+  /// Evicts the connection whose loss does the least harm.
   ///
-  /// By idle time alone, hundreds of connections that send nothing would push out the clients that wait
-  /// between two requests. Unproven ones go first, the one that has been there the longest before the others.
-  /// But one that is sending its first request, which may take it 2 s, stays while there are connections that
-  /// may be closed without harm: those that sent one request and stay would push it out.
-  /// @return false where none may be closed.
+  /// If only idle time counted, hundreds of connections that send nothing would displace clients that wait
+  /// between two requests. Therefore unproven connections go first, the oldest before the others. However, an
+  /// unproven connection may take 2 s to send its first request, and clients that sent one request and stay
+  /// connected would displace it. Therefore connections that have been idle for the permitted period go
+  /// before an unproven one that is not quiet.
+  /// @return false if no connection may be closed.
   [[nodiscard]] bool evict_one() {
     return evict_first(unproven_, kUnprovenQuietPeriod) || evict_first(idle_, kIdleQuietPeriod) ||
            evict_first(unproven_, Duration::zero()) || evict_first(idle_, Duration::zero());
@@ -73,7 +73,8 @@
   std::size_t size() const { return unproven_.size() + idle_.size(); }
 
  private:
-  /// Evicts the first connection with no unread bytes that has been quiet for a period; zero: for any.
+  /// Evicts the first connection that has no unread bytes and has been quiet for `quiet_period`; zero skips
+  /// the check for quiet.
   static bool evict_first(const std::list<Connection*>& connections, Duration quiet_period) {
     for (Connection* connection : connections) {
       if (quiet_period > Duration::zero() && !connection->is_quiet_for(quiet_period)) continue;
--- a/node/downstream/forwarded_request.cpp
+++ b/node/downstream/forwarded_request.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// About what a request holds besides its body.
+/// Approximate memory of a request without its body.
 constexpr std::size_t kRequestOverheadBytes = 1024;
 
 }  // namespace
--- a/node/downstream/forwarded_request.h
+++ b/node/downstream/forwarded_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// A request on its way from a client to a server, with the memory that it holds.
+/// A request that is forwarded from a client to a server, with the memory reserved for it.
 #pragma once
 
 #include "http/body_pipe.h"
@@ -8,20 +8,21 @@
 
 namespace nettleyoke::node {
 
-/// Holds its memory until the last attempt with it has ended.
+/// Shared by the attempts of one request; its memory stays reserved until the last attempt has ended.
 struct ForwardedRequest {
   explicit ForwardedRequest(MemoryBudget& budget) : reservation(budget) {}
 
-  /// Reserves memory for what `request` holds.
-  /// @return false where there is none.
+  /// Reserves memory for `request`.
+  /// @return false if the memory budget does not allow it.
   [[nodiscard]] bool reserve_for(const HttpRequest& request);
 
   OutgoingRequest outgoing;
   MemoryBudget::Reservation reservation;
 };
 
-/// Makes the request of a client's connection one for a server's.
-/// @param upload  where the rest of the body comes from; null where the request is complete.
+/// Replaces the fields and the HTTP version that belong to the client connection by those for a server
+/// connection.
+/// @param upload  the source of the remaining body; null if the request is complete.
 void rewrite_for_server(HttpRequest& request, const BodyPipe* upload);
 
 }  // namespace nettleyoke::node
--- a/node/downstream/graceful_shutdown.cpp
+++ b/node/downstream/graceful_shutdown.cpp
@@ -15,20 +15,21 @@
 
 namespace {
 
-/// From the start; clients of classes that wait longer have their answer by then.
+/// From the start; clients of classes with a longer timeout get their response by then too.
 constexpr Seconds kMaxClientWait{3.0};
-/// From the longest client wait to the last answer.
-constexpr Seconds kLastAnswerMargin{0.35};
+/// From the longest client wait to the last response.
+constexpr Seconds kLastResponseMargin{0.35};
 /// From the closing of the connections to the longest client wait.
 constexpr Seconds kLastRequestMargin{0.2};
-/// From the start to the listener's end.
+/// From the start to closing the listener.
 constexpr Seconds kAcceptPeriod{0.5};
 
-/// Classes that are no longer in force say nothing of when the kill comes, and requests of them that are open
-/// may still take their time.
+/// The longest client timeout of the classes in force, at most kMaxClientWait. Classes that are no longer in
+/// force are ignored: they do not determine when the process is killed, and open requests of them may still
+/// use their full timeout.
 Seconds longest_client_wait(const RequestCatalog& catalog) {
   double longest = 0;
-  for (std::size_t i = 0; i < catalog.in_force; ++i) {
+  for (std::size_t i = 0; i < catalog.in_force_count; ++i) {
     longest = std::max(longest, std::min(catalog.classes[i].client_timeout, kMaxClientWait.count()));
   }
   return Seconds(longest);
@@ -42,18 +43,20 @@
   timer->async_wait([timer, step](boost::system::error_code) { step(); });
 }
 
-bool GracefulShutdown::is_handing_over() const { return is_draining() && admission_.is_listener_inherited(); }
+bool GracefulShutdown::is_handing_over() const {
+  return is_shutting_down() && admission_.is_listener_inherited();
+}
 
 void GracefulShutdown::start(const RequestCatalog& catalog, std::function<void()> done) {
-  if (is_draining()) return;
-  phase_ = Phase::kDraining;
+  if (is_shutting_down()) return;
+  phase_ = Phase::kShuttingDown;
   done_ = std::move(done);
   const Seconds longest_wait = longest_client_wait(catalog);
-  dispatcher_.bound_answers((kMaxClientWait + kLastAnswerMargin).count());
-  last_answer_due_ = Clock::Steady::now() + Clock::span((longest_wait + kLastAnswerMargin).count());
+  dispatcher_.bound_answers((kMaxClientWait + kLastResponseMargin).count());
+  last_response_due_ = Clock::Steady::now() + Clock::span((longest_wait + kLastResponseMargin).count());
   if (admission_.is_listener_inherited()) {
-    admission_.leave_inherited_listener();
-    finish_if_drained();
+    admission_.close_inherited_listener();
+    finish_if_complete();
   } else {
     run_after(kAcceptPeriod, [this] { admission_.stop_accepting(); });
   }
@@ -63,11 +66,11 @@
 void GracefulShutdown::close_idle_connections() {
   phase_ = Phase::kClosingConnections;
   admission_.close_idle_connections();
-  finish_if_drained();
+  finish_if_complete();
 }
 
-void GracefulShutdown::finish_if_drained() {
-  if (is_draining() && done_ && !admission_.is_listening() && !admission_.has_connections()) {
+void GracefulShutdown::finish_if_complete() {
+  if (is_shutting_down() && done_ && !admission_.is_listening() && !admission_.has_connections()) {
     asio::post(io_, std::exchange(done_, nullptr));
   }
 }
--- a/node/downstream/graceful_shutdown.h
+++ b/node/downstream/graceful_shutdown.h
@@ -1,6 +1,6 @@
 /// @file
-/// The phases in which a node stops serving. Owns the phase, when the last answer is due, and what is called
-/// at the end; has the admission close the listener and the connections.
+/// The phases of a graceful shutdown. Owns the phase, the time when the last response is due, and the
+/// completion callback; ConnectionAdmission closes the listener and the connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,9 +15,9 @@
 
 class ConnectionAdmission;
 
-/// The process is killed once the longest time that a client waits, or 3 s, and 0.7 s more have gone by: by
-/// then all that was accepted is answered. Clients go on using their connections as long as these stay open,
-/// and where no other node stands beside this one they have nowhere else to go.
+/// The process is killed 0.7 s after the longest client timeout, which counts as 3 s at most. Each accepted
+/// request must have its response by then. Clients keep using their connections for as long as these stay
+/// open, and without a second node they have no alternative.
 class GracefulShutdown {
  public:
   using Seconds = std::chrono::duration<double>;
@@ -27,25 +27,26 @@
   GracefulShutdown(const GracefulShutdown&) = delete;
   GracefulShutdown& operator=(const GracefulShutdown&) = delete;
 
-  /// Begins; does nothing when it has begun.
-  /// @param catalog  its classes in force say how long clients wait.
+  /// Starts the shutdown; no effect if it has started.
+  /// @param catalog  the client timeouts of its classes in force determine the duration.
   /// @param done  posted to the event loop once no listener and no connection is left.
   void start(const RequestCatalog& catalog, std::function<void()> done);
-  /// Posts `done` if nothing is left.
-  void finish_if_drained();
+  /// Posts `done` once, if the shutdown has started and no listener and no connection is left.
+  void finish_if_complete();
 
-  bool is_draining() const { return phase_ != Phase::kServing; }
-  /// Whether each connection closes with its next answer, or soon where none is due.
+  bool is_shutting_down() const { return phase_ != Phase::kServing; }
+  /// Whether each connection closes after its next response, or soon if no response is due.
   bool is_closing_connections() const { return phase_ == Phase::kClosingConnections; }
-  /// Whether a successor serves on the same listener: each client is sent there with its next answer.
+  /// Whether this process shuts down while others serve on the same listener: each connection then closes
+  /// after its next response, so that its client connects to one of them.
   bool is_handing_over() const;
-  /// Until the last answer has to be written; of use while draining.
-  Seconds time_until_last_answer() const { return last_answer_due_ - Clock::Steady::now(); }
+  /// Time until the last response must have been written; valid during the shutdown only.
+  Seconds time_until_last_response() const { return last_response_due_ - Clock::Steady::now(); }
 
  private:
   enum class Phase {
     kServing,
-    kDraining,            ///< accepts for a while and serves for a while longer
+    kShuttingDown,        ///< accepts for a while and serves a while longer
     kClosingConnections,  ///< see is_closing_connections()
   };
 
@@ -57,7 +58,7 @@
   ConnectionAdmission& admission_;
   Dispatcher& dispatcher_;
   Phase phase_ = Phase::kServing;
-  Clock::Steady::time_point last_answer_due_;
+  Clock::Steady::time_point last_response_due_;
   std::function<void()> done_;
 };
 
--- a/node/downstream/local_response.h
+++ b/node/downstream/local_response.h
@@ -1,5 +1,5 @@
 /// @file
-/// The responses that a node gives by itself, without a server. Pure functions.
+/// Responses that the node generates itself, without a server. Pure functions.
 #pragma once
 
 #include <string>
@@ -9,14 +9,15 @@
 
 namespace nettleyoke::node {
 
-/// A response of one line of plain text; `text` with its line's end.
+/// A plain-text response.
+/// @param text  one line, including its line end.
 HttpResponse text_response(boost::beast::http::status status, const std::string& text);
 
-/// 503 to a request that is not served for want of capacity.
-/// @param retry_after  s, sent as Retry-After; 0: none is sent.
+/// The 503 response for a request that is rejected for lack of capacity.
+/// @param retry_after  s, sent as Retry-After; 0: the field is omitted.
 HttpResponse overload_response(double retry_after);
 
-/// How a request counts whose response has this status.
+/// The result to count for a request whose response has this status.
 RequestResult result_of(boost::beast::http::status status);
 
 }  // namespace nettleyoke::node
--- a/node/downstream/request_accounting.h
+++ b/node/downstream/request_accounting.h
@@ -1,6 +1,6 @@
 /// @file
-/// Counts the one request of a connection that is in progress, so that each request that was counted as begun
-/// is counted as ended just once. Owns the name of its class; starts and answers nothing.
+/// Counts the request in progress on one connection in the metrics, so that each request that was counted as
+/// started is counted as ended exactly once. Owns the name of its class; does not affect the request itself.
 #pragma once
 
 #include <optional>
@@ -13,17 +13,20 @@
 
 class RequestAccounting {
  public:
-  /// A valid request; it counts from its last byte or its answer, whichever is first.
+  /// Registers a valid request. It is counted later: at its last byte or at the start of its response,
+  /// whichever is first.
   void accept(const std::string& request_class) {
     request_class_ = request_class;
     is_counted_ = false;
   }
-  /// Its last byte has come, or its answer begins. Does nothing where there is none, or it counts already.
+  /// Call when the request's last byte has arrived, and when its response begins. No effect if no request is
+  /// registered or it has been counted already.
   void start(Metrics& metrics) {
     if (!request_class_ || std::exchange(is_counted_, true)) return;
     metrics.request_started();
   }
-  /// The last byte of its answer is written, or nobody waits for it any more. Does nothing where none counts.
+  /// Call when the last byte of the response is written, or when the client has disconnected. No effect if no
+  /// request has been counted as started.
   void end(Metrics& metrics, RequestResult result) {
     if (!request_class_ || !is_counted_) return;
     metrics.request_ended(*std::exchange(request_class_, std::nullopt), result);
--- a/node/downstream/request_catalog.cpp
+++ b/node/downstream/request_catalog.cpp
@@ -19,7 +19,7 @@
 bool is_still_in_force(const RequestCatalog& before, std::size_t index, const RequestCatalog& next) {
   const auto found = std::find(next.class_names.begin(), next.class_names.end(), before.class_names[index]);
   const auto next_index = static_cast<std::size_t>(found - next.class_names.begin());
-  return next_index < next.in_force && is_same_class(next.classes[next_index], before.classes[index]);
+  return next_index < next.in_force_count && is_same_class(next.classes[next_index], before.classes[index]);
 }
 
 }  // namespace
@@ -28,7 +28,7 @@
                             std::vector<std::string> tenant_names, Settings& settings) {
   RequestCatalog next{std::move(class_names), std::move(tenant_names), settings.classes,
                       settings.classes.size()};
-  for (std::size_t i = 0; i < before.in_force; ++i) {
+  for (std::size_t i = 0; i < before.in_force_count; ++i) {
     if (is_still_in_force(before, i, next)) continue;
     next.class_names.push_back(before.class_names[i]);
     next.classes.push_back(before.classes[i]);
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -13,34 +13,37 @@
 
 namespace {
 
-/// Half of what the slowest of those that are owed an answer send.
+/// Half the rate of the slowest clients that are entitled to a response.
 constexpr double kMinBodyBytesPerSecond = 32e3;
-/// Before that rate is asked for.
+/// Time after the head before that rate is required.
 constexpr Seconds kBodyRateGrace{1.5};
-/// A body that comes at this rate does not occupy a server for long.
+/// A body that arrives at this rate does not occupy a server for long.
 constexpr double kFastBodyBytesPerSecond = 1e6;
-/// Bytes of a body that are buffered, while there is memory, before a server is called. A client that takes
-/// seconds to send would occupy a server, and count as a request in flight, for as long.
+/// Bytes of a body that are buffered, if there is memory, before the request is dispatched. Otherwise a
+/// client that takes seconds to send its body would occupy a server, and count as a request in flight, for
+/// that time.
 constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{1} * 1024 * 1024;
-/// A slow client's body is buffered while less than this fraction of the memory is in use, a fast one's while
-/// less than the other is.
+/// The body of a slow client is buffered while less than the first fraction of the memory budget is in use,
+/// that of a fast client while less than the second is.
 constexpr double kSlowBodyMemoryFraction = 0.75;
 constexpr double kFastBodyMemoryFraction = 0.25;
-/// Bytes that may wait to be parsed: a complete head, or as much of requests that came before their turn.
+/// Bytes that may wait to be parsed: a complete head, or the same amount of pipelined requests.
 constexpr std::size_t kMaxReadAheadBytes = kHeaderLimit + RequestReader::kReadBytes;
 /// Bytes of read-ahead that an idle connection may keep allocated.
 constexpr std::size_t kMaxIdleReadAheadBytes = RequestReader::kReadBytes;
 
 std::optional<RequestError> to_request_error(const error_code& error) {
-  // The parser has consumed all it can use for now, or has filled the chunk.
+  static_assert(kBodyLimit == 64 * 1024 * 1024 && kHeaderLimit == 16 * 1024, "stated in the messages below");
+  // need_more: the parser has consumed all it can use for now; need_buffer: it has filled the chunk.
   if (!error || error == http::error::need_more || error == http::error::need_buffer) return std::nullopt;
   if (error == http::error::body_limit) {
-    return RequestError{http::status::payload_too_large, "body too large"};
+    return RequestError{http::status::payload_too_large, "body is too large; it must have at most 64 MiB"};
   }
   if (error == http::error::header_limit) {
-    return RequestError{http::status::request_header_fields_too_large, "header too large"};
+    return RequestError{http::status::request_header_fields_too_large,
+                        "request head is too large; it must have at most 16 KiB"};
   }
-  return RequestError{http::status::bad_request, "malformed request"};
+  return RequestError{http::status::bad_request, "request is malformed; it must be valid HTTP/1.x"};
 }
 
 }  // namespace
@@ -62,7 +65,7 @@
 
 void RequestReader::shrink_read_ahead() {
   if (read_ahead_.capacity() > kMaxIdleReadAheadBytes) read_ahead_.shrink_to_fit();
-  reserve_with_answer(0);
+  reserve_with_response(0);
 }
 
 void RequestReader::start_request() {
@@ -70,8 +73,8 @@
   parser_.emplace();
   parser_->header_limit(kHeaderLimit);
   parser_->body_limit(kBodyLimit);
-  // When eager, this parser skips its own body limit if the head and a part of the body come together, and a
-  // length of gigabytes would then be accepted.
+  // An eager parser does not check the body limit if the head and a part of the body arrive together, and
+  // would accept a length of gigabytes.
   parser_->eager(false);
   body_.clear();
   received_body_bytes_ = 0;
@@ -107,10 +110,10 @@
 }
 
 Seconds RequestReader::time_for_next_body_bytes() const {
-  const double owed = kBodyRateGrace.count() +
-                      static_cast<double>(received_body_bytes_) / kMinBodyBytesPerSecond -
-                      seconds_since_head();
-  return std::min(Seconds(kMaxBodyPause), Seconds(owed));
+  const double remaining = kBodyRateGrace.count() +
+                           static_cast<double>(received_body_bytes_) / kMinBodyBytesPerSecond -
+                           seconds_since_head();
+  return std::min(Seconds(kMaxBodyPause), Seconds(remaining));
 }
 
 RequestReader::BodyPlacement RequestReader::place_body() {
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -1,7 +1,7 @@
 /// @file
-/// Turns the bytes of one client's connection into requests. Owns the read-ahead buffer, the parser, and the
-/// body as far as it is buffered or streamed; keeps what these hold within the memory budget. Never reads or
-/// writes a socket, starts no timer and answers nothing: its connection does.
+/// Parses the bytes of one client connection into requests. Owns the read-ahead buffer, the parser, and the
+/// buffered body or the pipe for a streamed one; reserves their memory from the memory budget. The connection
+/// does the socket I/O, runs the timers and writes the responses.
 #pragma once
 
 #include <array>
@@ -27,22 +27,22 @@
 
 class RequestReader {
  public:
-  /// Bytes that one read from the socket may bring.
+  /// Maximum bytes of one read from the socket.
   static constexpr std::size_t kReadBytes = 4096;
 
-  /// What one step of the parser came to.
+  /// The result of one step of the parser.
   struct ParseStep {
-    std::optional<RequestError> error;  ///< the framing is lost; nothing more may be parsed
-    bool is_head_completed = false;     ///< the head's last byte was in this step
-    std::size_t body_bytes = 0;         ///< bytes of the body, at the start of the chunk
-    std::size_t consumed_bytes = 0;     ///< of the read-ahead buffer; 0: waits for more
+    std::optional<RequestError> error;  ///< the end of the request is unknown; nothing more may be parsed
+    bool is_head_completed = false;     ///< this step parsed the last byte of the head
+    std::size_t body_bytes = 0;         ///< bytes of the body, stored at the start of the chunk
+    std::size_t consumed_bytes = 0;     ///< bytes taken from the read-ahead buffer; 0: needs more input
   };
 
-  /// Where the body goes on.
+  /// What to do with a body.
   enum class BodyPlacement {
-    kBuffered,  ///< as before: there is memory for it
-    kStreamed,  ///< on to a server as it comes
-    kRejected,  ///< there is no memory for it
+    kBuffered,  ///< keep it in memory
+    kStreamed,  ///< stream it to a server as it arrives
+    kRejected,  ///< reject the request: there is no memory for the body
   };
 
   explicit RequestReader(MemoryBudget& budget) : budget_(budget), reservation_(budget) {}
@@ -50,34 +50,34 @@
   /// @name Read-ahead buffer
   /// @{
 
-  /// Where a read from the socket puts its bytes.
+  /// The buffer for a read from the socket.
   boost::asio::mutable_buffer receive_buffer() { return boost::asio::buffer(received_); }
-  /// Takes over the first bytes of the receive buffer.
+  /// Appends the first `size` bytes of the receive buffer to the read-ahead buffer.
   void append_received(std::size_t size);
   bool has_read_ahead() const { return read_ahead_.size() > 0; }
-  /// Whether one more read can be taken in, also in the stream that a body goes to.
+  /// Whether the read-ahead buffer and, if a body is streamed, its pipe can take the bytes of one more read.
   bool has_room_for_read() const;
-  /// Drops what was read ahead, and its memory.
+  /// Discards the read-ahead bytes and frees their memory.
   void discard_read_ahead();
-  /// Gives back the memory that only a large request needed. An idle connection would otherwise keep buffers
-  /// as large as the largest request that it has ever carried.
+  /// Frees memory that only a large request needed. Otherwise an idle connection would keep a buffer as large
+  /// as the largest request that it has ever received.
   void shrink_read_ahead();
-  /// Reserves memory for the read-ahead buffer and for so many bytes of an answer, and for nothing else.
-  void reserve_with_answer(std::size_t answer_bytes) {
-    reservation_.resize(read_ahead_.capacity() + answer_bytes);
+  /// Sets the reservation to the read-ahead buffer plus `response_bytes`.
+  void reserve_with_response(std::size_t response_bytes) {
+    reservation_.resize(read_ahead_.capacity() + response_bytes);
   }
 
   /// @}
   /// @name Parsing
   /// @{
 
-  /// Forgets the last request and waits for the first byte of the next.
+  /// Resets the parser and the body for the next request.
   void start_request();
-  /// A byte of the request has come.
-  /// @return whether it is the first.
+  /// Records that a byte of the request has arrived.
+  /// @return whether it is the first byte.
   bool mark_begun() { return !std::exchange(has_begun_, true); }
   bool has_begun() const { return has_begun_; }
-  /// Feeds the parser once from the read-ahead buffer.
+  /// Runs the parser once on the read-ahead buffer.
   /// @param chunk  receives bytes of the body.
   [[nodiscard]] ParseStep parse_step(std::span<char> chunk);
   bool is_head_complete() const { return parser_->is_header_done(); }
@@ -88,31 +88,31 @@
   /// @name Body
   /// @{
 
-  /// The head is accepted: the time of the body runs from here.
+  /// Starts measuring the transfer rate of the body. Call when the head is accepted.
   void start_body_clock() { head_completed_at_ = Clock::Steady::now(); }
-  /// Buffers or streams a part of the body.
+  /// Appends a part of the body to the buffer, or to the pipe if the body is streamed.
   void store_body(std::span<const char> bytes);
-  /// How long the next byte of the body may take.
+  /// How long to wait for the next bytes of the body; negative if the body is late already.
   std::chrono::duration<double> time_for_next_body_bytes() const;
-  /// Decides on the body of a request that is not streamed, after each part, and reserves memory for it.
+  /// Reserves memory for a body that is not streamed and decides what to do with it. Call after each part.
   [[nodiscard]] BodyPlacement place_body();
-  /// Streams the body from here on. What was buffered stays with the request.
+  /// Streams the body from here on. The part that was buffered stays with the request.
   void start_upload(boost::asio::io_context& io);
-  /// Where the rest of the body goes until all of it has come; null where none is streamed.
+  /// The pipe for the remaining body, until the body is complete; null if none is being streamed.
   const std::shared_ptr<BodyPipe>& upload() const { return upload_; }
   bool is_uploading() const { return upload_ != nullptr; }
   /// Whether a body is streamed and its pipe is writable.
   bool has_writable_upload() const { return upload_ && upload_->is_writable(); }
-  /// The body's last byte has been streamed.
+  /// Ends the pipe of a streamed body that is complete.
   void finish_upload() { std::exchange(upload_, nullptr)->finish(); }
-  /// Nothing more comes of a streamed body, if there is one.
+  /// Aborts the pipe of an incomplete streamed body, if there is one.
   void abort_upload() {
     if (upload_) std::exchange(upload_, nullptr)->abort();
   }
 
   /// @}
 
-  /// The request with what is buffered of its body, which goes with it.
+  /// Returns the request and moves the buffered body into it.
   HttpRequest take_request();
 
  private:
@@ -122,10 +122,10 @@
   MemoryBudget& budget_;
   std::array<char, kReadBytes> received_{};
   boost::beast::flat_buffer read_ahead_;
-  /// For the read-ahead buffer, and the body that is arriving or the answer that is being written.
+  /// Covers the read-ahead buffer, and the body that is arriving or the response that is being written.
   MemoryBudget::Reservation reservation_;
   std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
-  std::string body_;                     // as far as it is buffered
+  std::string body_;                     // the buffered part
   std::size_t received_body_bytes_ = 0;  // buffered and streamed
   Clock::Steady::time_point head_completed_at_;
   std::shared_ptr<BodyPipe> upload_;
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -126,7 +126,7 @@
 void Node::on_clients_listening(error_code error) {
   if (error) return abort_start("listen", error);
   downstream_.start();
-  std::clog << "nettleyoke " << config_.name << ": listening on " << downstream_.local() << '\n';
+  std::clog << "nettleyoke " << config_.name << ": listening on " << downstream_.local_endpoint() << '\n';
   await_reload();
 }
 
@@ -152,13 +152,13 @@
 
 void Node::drain() {
   clients_listen_.cancel();
-  downstream_.drain([this] { loop_.stop(); });
+  downstream_.shut_down_gracefully([this] { loop_.stop(); });
 }
 
 // ---------------------------------------------------------------- operators' calls
 
 bool Node::is_ready() const {
-  if (!dispatcher_.can_serve() || downstream_.draining()) return false;
+  if (!dispatcher_.can_serve() || downstream_.is_shutting_down()) return false;
   return dispatcher_.has_list() || loop_.clock().now() >= kMaxListWaitSeconds;
 }
 
--- a/tests/node/eviction_queue_test.cpp
+++ b/tests/node/eviction_queue_test.cpp
@@ -19,18 +19,18 @@
   bool has_unread_bytes() const { return has_unread_bytes_; }
   void evict() {
     is_evicted_ = true;
-    place_.leave();
+    place_.remove();
   }
 
   void receive_bytes() { has_unread_bytes_ = true; }
   bool is_evicted() const { return is_evicted_; }
-  Evictions::Place& place() { return place_; }
+  Evictions::Entry& place() { return place_; }
 
  private:
   milliseconds quiet_for_;
   bool has_unread_bytes_ = false;
   bool is_evicted_ = false;
-  Evictions::Place place_;
+  Evictions::Entry place_;
 };
 
 class EvictionQueueTest : public ::testing::Test {
@@ -118,10 +118,10 @@
 TEST_F(EvictionQueueTest, ConnectionThatLeftIsNotEvictedAndMayLeaveAgain) {
   FakeConnection connection(milliseconds(9000));
   add_idle(connection);
-  EXPECT_TRUE(connection.place().is_taken());
-  connection.place().leave();
-  connection.place().leave();
-  EXPECT_FALSE(connection.place().is_taken());
+  EXPECT_TRUE(connection.place().is_queued());
+  connection.place().remove();
+  connection.place().remove();
+  EXPECT_FALSE(connection.place().is_queued());
   EXPECT_FALSE(queue.evict_one());
 }
 
--- a/tests/node/request_catalog_test.cpp
+++ b/tests/node/request_catalog_test.cpp
@@ -30,7 +30,7 @@
   settings.classes = before_reload.classes;
   const RequestCatalog next = catalog_after(before_reload, {"read", "write"}, settings);
   EXPECT_EQ(next.class_names, (Names{"read", "write"}));
-  EXPECT_EQ(next.in_force, 2U);
+  EXPECT_EQ(next.in_force_count, 2U);
   EXPECT_EQ(settings.classes.size(), 2U);
 }
 
@@ -45,7 +45,7 @@
   settings.classes = {class_with_timeout(2)};
   const RequestCatalog next = catalog_after(before_reload, {"write"}, settings);
   EXPECT_EQ(next.class_names, (Names{"write", "read"}));
-  EXPECT_EQ(next.in_force, 1U);
+  EXPECT_EQ(next.in_force_count, 1U);
   ASSERT_EQ(settings.classes.size(), 2U);
   EXPECT_EQ(settings.classes[1].client_timeout, 1);
 }
@@ -61,7 +61,7 @@
 
 TEST(NextCatalog, ClassThatWasNotInForceAnyMoreIsDroppedByTheNextReload) {
   RequestCatalog before = before_reload;
-  before.in_force = 1;
+  before.in_force_count = 1;
   Settings settings;
   settings.classes = {class_with_timeout(1)};
   EXPECT_EQ(catalog_after(before, {"read"}, settings).class_names, (Names{"read"}));
--- a/tests/node/request_validation_test.cpp
+++ b/tests/node/request_validation_test.cpp
@@ -81,19 +81,19 @@
 TEST(RequestValidation, ClassThatIsMissingUnknownTwiceOrNotThatOfThePathIsRejected) {
   HttpRequest request = read_request();
   request.erase("X-Priority-Class");
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is missing");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is missing; it must name the request class of the path");
   request.set("X-Priority-Class", "other");
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is unknown");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is repeated or unknown; it must name one request class");
   request.set("X-Priority-Class", "write");
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is not that of the path");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class differs from the path; it must equal the first segment");
   request.insert("X-Priority-Class", "write");
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is unknown");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is repeated or unknown; it must name one request class");
 }
 
 TEST(RequestValidation, TargetThatIsNoPathIsRejected) {
   HttpRequest request = read_request();
   request.target("*");
-  EXPECT_EQ(reason_of(request), "not a path");
+  EXPECT_EQ(reason_of(request), "request target is not a path; it must start with '/'");
 }
 
 TEST(RequestValidation, RequestIdOfUpTo128BytesIsAccepted) {
@@ -101,9 +101,11 @@
   request.set("X-Request-ID", std::string(128, 'a'));
   EXPECT_EQ(reason_of(request), "");
   request.set("X-Request-ID", std::string(129, 'a'));
-  EXPECT_EQ(reason_of(request), "X-Request-ID is missing or unfit");
+  EXPECT_EQ(reason_of(request),
+            "X-Request-ID is missing, repeated, empty or too long; it must have 1 to 128 bytes");
   request.erase("X-Request-ID");
-  EXPECT_EQ(reason_of(request), "X-Request-ID is missing or unfit");
+  EXPECT_EQ(reason_of(request),
+            "X-Request-ID is missing, repeated, empty or too long; it must have 1 to 128 bytes");
 }
 
 TEST(RequestValidation, TimeoutOfTheClientIsBoundedByThatOfTheClass) {
@@ -118,34 +120,48 @@
   HttpRequest request = read_request();
   for (const char* const timeout : {"0", "1000000000", "-1", "1.5", ""}) {
     request.set("X-Timeout-Ms", timeout);
-    EXPECT_EQ(reason_of(request), "X-Timeout-Ms is not a number of milliseconds") << timeout;
+    EXPECT_EQ(reason_of(request),
+              "X-Timeout-Ms is invalid; it must be one whole number of milliseconds from 1 to 999999999")
+        << timeout;
   }
 }
 
 TEST(RequestValidation, MethodThatDoesNotFitTheClassIsRejected) {
-  EXPECT_EQ(reason_of(request_of("read", http::verb::post)), "GET without a body only");
-  EXPECT_EQ(reason_of(request_of("write", http::verb::get)), "POST only");
+  EXPECT_EQ(reason_of(request_of("read", http::verb::post)),
+            "method or body does not fit the request class; it must be GET without a body");
+  EXPECT_EQ(reason_of(request_of("write", http::verb::get)),
+            "method does not fit the request class; it must be POST");
   EXPECT_EQ(reason_of(request_of("write", http::verb::post)), "");
   HttpRequest with_body = read_request();
   with_body.body() = "x";
-  EXPECT_EQ(reason_of(with_body), "GET without a body only");
+  EXPECT_EQ(reason_of(with_body),
+            "method or body does not fit the request class; it must be GET without a body");
 }
 
 TEST(RequestValidation, IdempotencyKeyIsRequiredByItsClassAndRejectedByOthers) {
   HttpRequest pay = request_of("pay", http::verb::post);
-  EXPECT_EQ(reason_of(pay), "Idempotency-Key does not fit the class");
+  EXPECT_EQ(
+      reason_of(pay),
+      "Idempotency-Key does not fit the request class; it must be one non-empty key or, where the class has "
+      "no keys, absent");
   pay.set("Idempotency-Key", "");
-  EXPECT_EQ(reason_of(pay), "Idempotency-Key does not fit the class");
+  EXPECT_EQ(
+      reason_of(pay),
+      "Idempotency-Key does not fit the request class; it must be one non-empty key or, where the class has "
+      "no keys, absent");
   pay.set("Idempotency-Key", "k");
   EXPECT_EQ(reason_of(pay), "");
   HttpRequest write = request_of("write", http::verb::post);
   write.set("Idempotency-Key", "k");
-  EXPECT_EQ(reason_of(write), "Idempotency-Key does not fit the class");
+  EXPECT_EQ(
+      reason_of(write),
+      "Idempotency-Key does not fit the request class; it must be one non-empty key or, where the class has "
+      "no keys, absent");
 }
 
 TEST(RequestValidation, PreviousClassIsAcceptedShortlyAfterAReloadOnly) {
   const HttpRequest request = request_of("old", http::verb::get);
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is unknown");
+  EXPECT_EQ(reason_of(request), "X-Priority-Class is repeated or unknown; it must name one request class");
   const Request event = event_of(request, AcceptedClasses::kInForceOrPrevious);
   EXPECT_EQ(event.request_class, 3U);
   EXPECT_EQ(event.time_left, 5);
@@ -153,7 +169,7 @@
 
 TEST(RequestValidation, InvalidRequestIsRejectedByTheClassesInForceAlsoAfterAReload) {
   EXPECT_EQ(reason_of(request_of("read", http::verb::post), AcceptedClasses::kInForceOrPrevious),
-            "GET without a body only");
+            "method or body does not fit the request class; it must be GET without a body");
 }
 
 TEST(RequestValidation, PathEndsAtTheQuery) { EXPECT_EQ(path_of(read_request()), "/read/item"); }
