--- a/node/takeover/disabled_servers.cpp
+++ b/node/takeover/disabled_servers.cpp
@@ -21,12 +21,12 @@
 namespace nettleyoke::node {
 namespace {
 
-// A server that was disabled by a call to the other process counts as draining from that call's YES on, and
-// nothing may be sent to it half a second later.
+// A server that was disabled by a command to the other process counts as draining from the reply to that
+// command, and must get no new requests half a second later.
 constexpr std::chrono::milliseconds kFilePollInterval{100};
 
-// Holds the lock beside the file for one small read and write. Without it a change of the other process that
-// comes at the same time could be lost.
+// Holds a lock file next to the shared file during one short read and write. Without the lock, a simultaneous
+// change by the other process could be lost.
 class FileLock {
  public:
   explicit FileLock(const std::string& file)
@@ -50,7 +50,7 @@
   if (document.HasParseError()) throw json::BadMessage("not valid JSON");
   std::set<std::string> servers;
   for (const json::Value& name : json::array(document, "disabled").GetArray()) {
-    if (!name.IsString()) throw json::BadMessage("a name is not a string");
+    if (!name.IsString()) throw json::BadMessage("field 'disabled' contains an item that is not a string");
     servers.emplace(name.GetString(), name.GetStringLength());
   }
   return servers;
@@ -72,24 +72,25 @@
 
 }  // namespace
 
-DisabledServers::DisabledServers(boost::asio::io_context& io, const std::string& directory, Changed changed)
-    : file_(directory.empty() ? "" : directory + "/" + kFileName),
-      changed_(std::move(changed)),
+DisabledServers::DisabledServers(boost::asio::io_context& io, const std::string& directory,
+                                 ChangeCallback on_change)
+    : file_path_(directory.empty() ? "" : directory + "/" + kFileName),
+      on_change_(std::move(on_change)),
       poll_timer_(io) {}
 
 void DisabledServers::load() {
-  if (file_.empty()) return;
-  const FileLock lock(file_);
-  seen_version_ = file_version();
-  if (auto servers = read_file()) adopt(std::move(*servers));
+  if (file_path_.empty()) return;
+  const FileLock lock(file_path_);
+  last_file_version_ = file_version();
+  if (auto servers = read_file()) replace_servers(std::move(*servers));
 }
 
 void DisabledServers::set_disabled(const std::string& server, bool disabled) {
   std::optional<FileLock> lock;
   std::set<std::string> servers = servers_;
-  if (!file_.empty()) {
-    lock.emplace(file_);
-    // The other process may have changed it since.
+  if (!file_path_.empty()) {
+    lock.emplace(file_path_);
+    // The other process may have changed the file since it was last read.
     if (auto written = read_file()) servers = std::move(*written);
   }
   if (disabled) {
@@ -97,59 +98,59 @@
   } else {
     servers.erase(server);
   }
-  adopt(std::move(servers));
-  if (file_.empty()) return;
+  replace_servers(std::move(servers));
+  if (file_path_.empty()) return;
   write_file();
-  seen_version_ = file_version();
+  last_file_version_ = file_version();
 }
 
 void DisabledServers::watch_file() {
-  if (file_.empty()) return;
+  if (file_path_.empty()) return;
   poll_timer_.expires_after(kFilePollInterval);
   poll_timer_.async_wait([this](boost::system::error_code cancelled) {
     if (cancelled) return;
-    if (file_version() != seen_version_) load();
+    if (file_version() != last_file_version_) load();
     watch_file();
   });
 }
 
-// Nothing where there is no file, or none that can be used.
+// Returns nothing if there is no file or the file is malformed.
 std::optional<std::set<std::string>> DisabledServers::read_file() const {
-  std::ifstream file(file_, std::ios::binary);
+  std::ifstream file(file_path_, std::ios::binary);
   if (!file) return std::nullopt;
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   try {
     return parse_servers(text);
   } catch (const std::exception& error) {
-    std::clog << "disabled servers: " << file_ << ": " << error.what() << "; left aside\n";
+    std::clog << "disabled servers: " << file_path_ << ": " << error.what() << "; file ignored\n";
     return std::nullopt;
   }
 }
 
-// By rename: the other process reads the old file or the new one, never a part.
+// Replaces the file by a rename, so that the other process never reads a partly written file.
 void DisabledServers::write_file() const {
-  const std::string part = file_ + ".new";
-  std::ofstream file(part, std::ios::binary | std::ios::trunc);
+  const std::string temporary_path = file_path_ + ".new";
+  std::ofstream file(temporary_path, std::ios::binary | std::ios::trunc);
   file << format_servers(servers_) << '\n';
   file.close();
-  if (!file || std::rename(part.c_str(), file_.c_str()) != 0) {
-    std::clog << "disabled servers: cannot write " << file_ << ": " << std::strerror(errno)
-              << "; they hold in this process alone\n";
+  if (!file || std::rename(temporary_path.c_str(), file_path_.c_str()) != 0) {
+    std::clog << "disabled servers: cannot write " << file_path_ << ": " << std::strerror(errno)
+              << "; the change applies to this process only\n";
   }
 }
 
-void DisabledServers::adopt(std::set<std::string> servers) {
+void DisabledServers::replace_servers(std::set<std::string> servers) {
   if (servers == servers_) return;
   servers_ = std::move(servers);
-  changed_(servers_);
+  on_change_(servers_);
 }
 
-// Tells one writing of the file from the next; empty where there is none.
+// Identifies the current version of the file; empty if there is no file.
 std::string DisabledServers::file_version() const {
-  struct stat state {};
-  if (::stat(file_.c_str(), &state) != 0) return {};
-  return std::to_string(state.st_ino) + ":" + std::to_string(state.st_mtim.tv_sec) + "." +
-         std::to_string(state.st_mtim.tv_nsec);
+  struct stat status {};
+  if (::stat(file_path_.c_str(), &status) != 0) return {};
+  return std::to_string(status.st_ino) + ":" + std::to_string(status.st_mtim.tv_sec) + "." +
+         std::to_string(status.st_mtim.tv_nsec);
 }
 
 }  // namespace nettleyoke::node
--- a/node/takeover/inherited_listener.cpp
+++ b/node/takeover/inherited_listener.cpp
@@ -12,8 +12,8 @@
 
 std::optional<int> parse_descriptor(std::string_view digits) {
   int descriptor = -1;
-  const auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), descriptor);
-  if (problem != std::errc() || end != digits.data() + digits.size() || descriptor < 0) return std::nullopt;
+  const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), descriptor);
+  if (error != std::errc() || end != digits.data() + digits.size() || descriptor < 0) return std::nullopt;
   return descriptor;
 }
 
@@ -29,7 +29,8 @@
   if (text == nullptr || *text == '\0') return std::nullopt;
   const std::optional<int> descriptor = parse_descriptor(text);
   if (!descriptor || !is_listening(*descriptor)) {
-    throw InheritedListenerError("RELAY_LISTEN_FD: " + std::string(text) + " is no listening socket");
+    throw InheritedListenerError("RELAY_LISTEN_FD: " + std::string(text) +
+                                 " is not the descriptor of a listening socket");
   }
   ::fcntl(*descriptor, F_SETFD, FD_CLOEXEC);
   return descriptor;
--- a/node/takeover/inherited_listener.h
+++ b/node/takeover/inherited_listener.h
@@ -1,4 +1,5 @@
-/// The clients' listening socket that a process inherits when it takes over from another.
+/// @file
+/// The listening socket for clients that a process inherits in a process takeover.
 #pragma once
 
 #include <optional>
@@ -6,14 +7,15 @@
 
 namespace nettleyoke::node {
 
-/// RELAY_LISTEN_FD names something else than a listening socket.
+/// The value of RELAY_LISTEN_FD is not the descriptor of a listening socket.
 struct InheritedListenerError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// The descriptor that RELAY_LISTEN_FD names, from now on closed on exec; the caller owns it.
-/// @param text the variable's value; nothing comes of none and of an empty one.
-/// @throws InheritedListenerError
+/// Parses RELAY_LISTEN_FD and marks the descriptor close-on-exec. The caller owns the descriptor.
+/// @param text the value of the variable; may be null
+/// @return nothing if the value is null or empty
+/// @throws InheritedListenerError if the value is not the descriptor of a listening socket
 [[nodiscard]] std::optional<int> inherited_listener(const char* text);
 
 }  // namespace nettleyoke::node
--- a/tests/node/takeover_test.cpp
+++ b/tests/node/takeover_test.cpp
@@ -90,7 +90,7 @@
   for (const char* text : {"", "{", "[1]", R"({"disabled":[7]})", R"({"disabled":"s0"})"}) {
     std::ofstream(platform.disabled_servers_path()) << text;
     Deployment deployment({&server}, with_admin_server(), platform.start_options());
-    EXPECT_EQ(deployment.program->count_in_log("left aside"), 1) << text;
+    EXPECT_EQ(deployment.program->count_in_log("file ignored"), 1) << text;
     EXPECT_EQ(status_of(deployment.answer_to({.id = "r"})), 200);
     EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
   }
