--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -123,7 +123,7 @@
 }
 
 std::optional<asio::ip::tcp::endpoint> HollowNode::admin_endpoint() const {
-  return config_.ops && admin_server_ ? std::optional(admin_server_->local()) : std::nullopt;
+  return config_.ops && admin_server_ ? std::optional(admin_server_->local_endpoint()) : std::nullopt;
 }
 
 void HollowNode::shut_down() {
--- a/node/admin/admin_command.cpp
+++ b/node/admin/admin_command.cpp
@@ -4,14 +4,14 @@
 namespace {
 
 AdminCommand parse_query(std::string_view name, bool has_argument) {
-  if (has_argument) return MalformedCommand{std::string(name) + " takes nothing more"};
+  if (has_argument) return MalformedCommand{std::string(name) + " takes no argument"};
   if (name == "STATS") return StatsCommand{};
   return ReadyCommand{};
 }
 
 AdminCommand parse_server_command(std::string_view name, std::string_view server) {
   if (server.empty() || server.find(' ') != std::string_view::npos) {
-    return MalformedCommand{std::string(name) + " takes one server's id"};
+    return MalformedCommand{std::string(name) + " takes exactly one server id"};
   }
   return SetServerCommand{std::string(server), name == "ENABLE"};
 }
@@ -27,7 +27,7 @@
   if (name == "DISABLE" || name == "ENABLE") {
     return parse_server_command(name, has_argument ? line.substr(space + 1) : std::string_view());
   }
-  return MalformedCommand{"unknown call; READY, STATS, DISABLE ID and ENABLE ID are known"};
+  return MalformedCommand{"unknown command; must be READY, STATS, DISABLE ID or ENABLE ID"};
 }
 
 std::string format_yes() { return "YES\n"; }
--- a/node/admin/admin_command.h
+++ b/node/admin/admin_command.h
@@ -1,6 +1,7 @@
-/// The wire form of operators' calls: one line in, one reply out.
+/// @file
+/// The wire format of the admin server's commands and replies. A command is one line and gets one reply.
 ///
-/// Knows how a call and a reply are spelled, and nothing of what a call does.
+/// It parses commands and formats replies; it does not execute commands.
 #pragma once
 
 #include <string>
@@ -9,29 +10,30 @@
 
 namespace nettleyoke::node {
 
-/// READY: whether the node can serve.
+/// READY: asks whether the node can serve.
 struct ReadyCommand {};
-/// STATS: the metrics.
+/// STATS: asks for the metrics.
 struct StatsCommand {};
-/// DISABLE ID and ENABLE ID.
+/// DISABLE ID or ENABLE ID: disables or enables a server.
 struct SetServerCommand {
   std::string server;
   bool enable = false;
 };
-/// A line that is no call.
+/// A line that is not a valid command.
 struct MalformedCommand {
   std::string reason;
 };
 using AdminCommand = std::variant<ReadyCommand, StatsCommand, SetServerCommand, MalformedCommand>;
 
-/// @param line with or without its end, which may be "\n" or "\r\n".
+/// @param line with or without a trailing "\n" or "\r\n"
 [[nodiscard]] AdminCommand parse_admin_command(std::string_view line);
 
-/// It is so, or it is done.
+/// The reply for a condition that holds or a command that succeeded.
 [[nodiscard]] std::string format_yes();
-/// It isn't so, or can't be done.
+/// The reply for a condition that does not hold or a command that failed.
 [[nodiscard]] std::string format_no(std::string_view reason);
-/// @param json one line, without its end.
+/// The reply to STATS.
+/// @param json one line, without a line end
 [[nodiscard]] std::string format_stats(std::string_view json);
 
 }  // namespace nettleyoke::node
--- a/node/admin/admin_connection.h
+++ b/node/admin/admin_connection.h
@@ -1,6 +1,7 @@
-/// One operator's connection: one call, one reply, then the close.
+/// @file
+/// One connection to the admin server: reads one command, sends one reply, then closes.
 ///
-/// Owns the socket and its deadlines. What the reply says is its owner's.
+/// Owns the socket and its deadlines. The owner's callback produces the reply.
 #pragma once
 
 #include <array>
@@ -19,17 +20,17 @@
 class AdminConnection : public std::enable_shared_from_this<AdminConnection> {
  public:
   struct Callbacks {
-    std::function<std::string(std::string_view line)> reply_to;
-    std::function<void()> closed;  ///< once, unless detached before; the connection does nothing after it
+    std::function<std::string(std::string_view line)> reply_to;  ///< executes a command
+    std::function<void()> closed;  ///< called once, as the last callback; not called after detach()
   };
 
   AdminConnection(boost::asio::ip::tcp::socket socket, Callbacks callbacks);
 
   void start();
-  /// Whether anything has come from the caller.
+  /// Whether the client has sent anything.
   [[nodiscard]] bool has_input();
   void close();
-  /// Ends all callbacks; the connection closes once nothing in the event loop holds it.
+  /// Removes the callbacks. The connection closes when no pending operation of the event loop refers to it.
   void detach();
 
  private:
@@ -37,7 +38,7 @@
 
   static constexpr std::size_t kMaxLineBytes = 512;
 
-  void close_unless_done_within(Clock::Steady::duration patience);
+  void set_deadline(Clock::Steady::duration timeout);
   void on_deadline();
   void on_line(boost::system::error_code error, std::size_t length);
   void reply_to_incomplete_line();
@@ -45,11 +46,11 @@
   void discard_input();
 
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer deadline_;
+  boost::asio::steady_timer deadline_timer_;
   Callbacks callbacks_;
-  boost::asio::streambuf line_{kMaxLineBytes};
+  boost::asio::streambuf input_{kMaxLineBytes};
   std::string reply_;
-  std::array<char, kMaxLineBytes> discarded_{};
+  std::array<char, kMaxLineBytes> discard_buffer_{};
   State state_ = State::kReading;
 };
 
--- a/node/admin/admin_server.cpp
+++ b/node/admin/admin_server.cpp
@@ -14,20 +14,20 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// After an accept that failed.
+// The pause after a failed accept.
 constexpr std::chrono::milliseconds kAcceptPause{20};
 
-// Turns a command into its reply.
+// Executes a command and returns the reply.
 struct CommandHandler {
   const AdminServer::Handlers& handlers;
 
   std::string operator()(const ReadyCommand&) const {
-    return handlers.ready() ? format_yes() : format_no("not ready");
+    return handlers.is_ready() ? format_yes() : format_no("not ready");
   }
   std::string operator()(const StatsCommand&) const { return format_stats(handlers.stats()); }
   std::string operator()(const SetServerCommand& command) const {
-    const std::string problem = handlers.set(command.server, command.enable);
-    return problem.empty() ? format_yes() : format_no(problem);
+    const std::string error = handlers.set_server_enabled(command.server, command.enable);
+    return error.empty() ? format_yes() : format_no(error);
   }
   std::string operator()(const MalformedCommand& command) const { return format_no(command.reason); }
 };
@@ -42,7 +42,7 @@
 }
 
 void AdminServer::listen(const tcp::endpoint& address) {
-  tcp::acceptor acceptor(io_, address);  // reuses the address
+  tcp::acceptor acceptor(io_, address);  // sets SO_REUSEADDR
   acceptor_ = std::move(acceptor);
   accept();
 }
@@ -51,7 +51,7 @@
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (error) return accept_after_pause();
-    // Callers that send nothing stay for seconds, and must not keep others out.
+    // A client that sends nothing keeps its connection for seconds and must not block other clients.
     if (connections_.size() >= kMaxConnections) evict_connection();
     add_connection(std::move(socket));
     accept();
@@ -66,14 +66,14 @@
 }
 
 void AdminServer::add_connection(tcp::socket socket) {
-  const auto place = connections_.emplace(connections_.end());
-  *place = std::make_shared<AdminConnection>(
+  const auto entry = connections_.emplace(connections_.end());
+  *entry = std::make_shared<AdminConnection>(
       std::move(socket), AdminConnection::Callbacks{[this](std::string_view line) { return reply_to(line); },
-                                                    [this, place] { connections_.erase(place); }});
-  (*place)->start();
+                                                    [this, entry] { connections_.erase(entry); }});
+  (*entry)->start();
 }
 
-// Closes the oldest connection that has sent nothing, or the oldest of all.
+// Closes the oldest connection without input, or the oldest connection if all have input.
 void AdminServer::evict_connection() {
   const auto silent = std::find_if(connections_.begin(), connections_.end(),
                                    [](const auto& connection) { return !connection->has_input(); });
--- a/node/admin/admin_server.h
+++ b/node/admin/admin_server.h
@@ -1,7 +1,7 @@
-/// Answers operators' calls at an address of its own.
+/// @file
+/// The admin server: executes operators' commands, which arrive at an address of its own.
 ///
-/// Owns the listening socket and the connections, at most kMaxConnections at once. What a call means for the
-/// node is its handlers'.
+/// Owns the listening socket and at most kMaxConnections connections. The handlers implement the commands.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,14 +20,14 @@
 
 class AdminServer {
  public:
-  /// Descriptors are reserved for so many connections.
+  /// The maximum number of connections. The node reserves descriptors for them.
   static constexpr std::size_t kMaxConnections = 16;
 
   struct Handlers {
-    std::function<bool()> ready;
-    std::function<std::string()> stats;  ///< one line of JSON
-    /// Enables or disables a server; returns why it can't, and nothing where it is done.
-    std::function<std::string(const std::string& id, bool enable)> set;
+    std::function<bool()> is_ready;
+    std::function<std::string()> stats;  ///< returns one line of JSON
+    /// Enables or disables a server; returns the reason if that fails, otherwise an empty string.
+    std::function<std::string(const std::string& id, bool enable)> set_server_enabled;
   };
 
   AdminServer(boost::asio::io_context& io, Handlers handlers);
@@ -35,10 +35,10 @@
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  /// @throws boost::system::system_error where the address can't be listened on.
+  /// @throws boost::system::system_error if listening on the address fails
   void listen(const boost::asio::ip::tcp::endpoint& address);
-  /// The address that is listened on.
-  boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
+  /// The address on which the server listens.
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
  private:
   using Connections = std::list<std::shared_ptr<AdminConnection>>;
@@ -53,7 +53,7 @@
   Handlers handlers_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_pause_;
-  Connections connections_;  // the oldest first
+  Connections connections_;  // oldest first
 };
 
 }  // namespace nettleyoke::node
--- a/node/admin/metrics.cpp
+++ b/node/admin/metrics.cpp
@@ -34,9 +34,10 @@
     }
     writer.EndObject();
   }
-  const Counter counters[] = {{"backend_calls", attempts_sent_},       {"inflight", requests_in_flight_},
-                              {"hosts_listed", snapshot.hosts_listed}, {"hosts_down", snapshot.hosts_down},
-                              {"reconfig_ok", reloads_succeeded_},     {"reconfig_failed", reloads_failed_}};
+  const Counter counters[] = {
+      {"backend_calls", attempts_sent_},         {"inflight", requests_in_flight_},
+      {"hosts_listed", snapshot.listed_servers}, {"hosts_down", snapshot.unavailable_servers},
+      {"reconfig_ok", reloads_succeeded_},       {"reconfig_failed", reloads_failed_}};
   for (const Counter& counter : counters) {
     writer.Key(counter.key);
     writer.Uint64(counter.count);
--- a/node/admin/metrics.h
+++ b/node/admin/metrics.h
@@ -1,6 +1,7 @@
-/// The metrics that operators read, counted where things happen, from the start of the process.
+/// @file
+/// The metrics that operators read.
 ///
-/// Owns the counters; it never looks into the parts that it counts for.
+/// Owns the counters, which start at 0 with the process. Other parts of the node report the events to count.
 #pragma once
 
 #include <array>
@@ -12,39 +13,39 @@
 
 namespace nettleyoke::node {
 
-/// How a request ended, as its client sees it.
+/// How a request ended for its client.
 enum class RequestResult { kServed, kRejected, kFailed };
 
 class Metrics {
  public:
-  /// What is known only when it is asked for.
+  /// Values that are read when the metrics are requested.
   struct Snapshot {
-    std::size_t hosts_listed = 0;
-    std::size_t hosts_down = 0;
+    std::size_t listed_servers = 0;
+    std::size_t unavailable_servers = 0;
   };
 
-  /// Shows these classes from here on, with what was counted for them before, if anything.
+  /// Adds these request classes to the output. Counts of classes that were added before are kept.
   void add_classes(const std::vector<std::string>& classes) {
     for (const std::string& name : classes) results_by_class_.try_emplace(name);
   }
   void request_started() { requests_in_flight_ += 1; }
-  /// The last byte of the final response is written, or nobody waits for it any more.
+  /// The last byte of the final answer has been written, or the client has disconnected.
   void request_ended(const std::string& request_class, RequestResult result) {
     requests_in_flight_ -= 1;
     results_by_class_[request_class][static_cast<std::size_t>(result)] += 1;
   }
-  /// The last byte of an attempt is written.
+  /// The last byte of an attempt has been written.
   void attempt_sent() { attempts_sent_ += 1; }
   void reload_finished(bool succeeded) { (succeeded ? reloads_succeeded_ : reloads_failed_) += 1; }
 
-  /// One line of JSON, without its end, by the keys that operators know.
+  /// Formats the metrics as one line of JSON, without a line end.
   std::string to_json(const Snapshot& snapshot) const;
 
  private:
   static constexpr std::size_t kResultCount = 3;
 
-  std::map<std::string, std::array<std::uint64_t, kResultCount>>
-      results_by_class_;  // as RequestResult counts
+  // For each request class, the counts indexed by RequestResult.
+  std::map<std::string, std::array<std::uint64_t, kResultCount>> results_by_class_;
   std::uint64_t requests_in_flight_ = 0;
   std::uint64_t attempts_sent_ = 0;
   std::uint64_t reloads_succeeded_ = 0;
--- a/node/dispatch/deadline_margin.h
+++ b/node/dispatch/deadline_margin.h
@@ -1,40 +1,43 @@
 /// @file
-/// How long before a client gives up its request has to be over. It keeps no state.
+/// Computes how long before the client's deadline a request must end. Stateless.
 #pragma once
 
 #include <algorithm>
 
 namespace nettleyoke::node {
 
-/// The time between the end of a request's attempts and the moment when its client gives up.
+/// The time between the end of a request's attempts and the client's deadline.
 class DeadlineMargin {
  public:
-  /// Attempts end this long before the client gives up: for the way that the request has come, an event loop
-  /// that runs late on a shared core, and the way of the answer. An answer that comes too late is a lost
-  /// request; one that this margin cuts off is a late one at best.
+  /// The longest margin. It covers the network delay of the request, the network delay of the response, and
+  /// an event loop that runs late on a shared core. A response that reaches the client after its deadline is
+  /// a lost request; a response that arrives within the margin would be late at best.
   static constexpr double kMaxSeconds = 0.040;
-  /// The margin is no more than this fraction of the time that the client gives. Each tier takes its margin
-  /// from what the tier above has left, so that three fixed ones would leave nothing to an urgent request.
+  /// The margin as a fraction of the time that the client allows. Each tier subtracts its margin from the
+  /// time that the tier above has left: three fixed margins would leave no time for an urgent request.
   static constexpr double kFractionOfTimeLeft = 0.02;
-  /// But no less than this: clients give whole milliseconds, and an event loop on a shared core takes a part
-  /// of one to answer.
+  /// The shortest margin. Clients state their timeout in whole milliseconds, and an event loop on a shared
+  /// core needs a fraction of a millisecond to answer.
   static constexpr double kMinSeconds = 0.001;
-  /// After this fraction of the margin the node fails a request that has no answer, for whatever reason.
+  /// When this fraction of the margin is left, the node fails a request that has no final answer, whatever
+  /// the reason.
   static constexpr double kFallbackFraction = 0.5;
 
   constexpr explicit DeadlineMargin(double min_seconds = kMinSeconds) : min_seconds_(min_seconds) {}
 
-  /// @param time_left s that the client gives
+  /// @param time_left s that the client allows for the request
   /// @return s
   constexpr double of(double time_left) const {
     return std::clamp(kFractionOfTimeLeft * time_left, min_seconds_, kMaxSeconds);
   }
-  /// When attempts end.
-  /// @param end when the client gives up
-  constexpr double attempts_end(double end, double time_left) const { return end - of(time_left); }
-  /// When the request is failed if nothing has answered it.
-  constexpr double fallback_at(double end, double time_left) const {
-    return end - kFallbackFraction * of(time_left);
+  /// The time at which attempts end.
+  /// @param client_deadline when the client gives up
+  constexpr double attempts_end(double client_deadline, double time_left) const {
+    return client_deadline - of(time_left);
+  }
+  /// The time at which the request fails if it has no final answer.
+  constexpr double fallback_at(double client_deadline, double time_left) const {
+    return client_deadline - kFallbackFraction * of(time_left);
   }
 
  private:
--- a/node/dispatch/decision_loop.cpp
+++ b/node/dispatch/decision_loop.cpp
@@ -16,11 +16,11 @@
   while (!events_.empty()) {
     const Event next = std::move(events_.front());
     events_.pop_front();
-    // An exception that escaped from here would leave the Balancer without events for good.
+    // An exception that left this loop would leave is_handling_ set, and no later event would be handled.
     try {
       handle(next);
-    } catch (const std::exception& problem) {
-      executor_.on_execution_failed(problem);
+    } catch (const std::exception& error) {
+      executor_.on_execution_failed(error);
     }
   }
   is_handling_ = false;
@@ -31,9 +31,9 @@
   bool has_failed = false;
   try {
     balancer_.handle(clock_.now(), event, actions);
-  } catch (const std::exception& problem) {
+  } catch (const std::exception& error) {
     has_failed = true;
-    executor_.on_decision_failed(problem);
+    executor_.on_decision_failed(error);
   }
   for (const Action& action : actions) {
     std::visit([this](const auto& alternative) { executor_.execute(alternative); }, action);
--- a/node/dispatch/decision_loop.h
+++ b/node/dispatch/decision_loop.h
@@ -1,6 +1,6 @@
 /// @file
-/// Between a host and its Balancer: it owns the Balancer and the queue of events, hands over one event at a
-/// time and lets the host execute the actions. It never executes one itself.
+/// Connects a host with its Balancer: owns the Balancer and the event queue, passes events to the Balancer
+/// one at a time, and calls the host to execute the resulting actions.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace nettleyoke::node {
 
-/// What a host does with the Balancer's actions, and with failures of it.
+/// Implemented by a host: executes the Balancer's actions and handles errors of the Balancer.
 class ActionExecutor {
  public:
   ActionExecutor() = default;
@@ -29,23 +29,25 @@
   virtual void execute(const WatchMembership& action) = 0;
   virtual void execute(const LogLine& action) = 0;
 
-  /// The Balancer threw; the actions it had asked for before are executed next. To be called from within the
-  /// handler of the exception, as the next one too: `throw;` passes it on.
-  virtual void on_decision_failed(const std::exception& problem) = 0;
-  /// Executing an action threw; what followed of the event's actions is lost.
-  virtual void on_execution_failed(const std::exception& problem) = 0;
-  /// The Balancer threw over this event, and the actions it had asked for are executed.
+  /// The Balancer threw an exception. The actions that it had added before are executed next. Called from
+  /// the `catch` block, so that an implementation can rethrow with `throw;`.
+  virtual void on_decision_failed(const std::exception& error) = 0;
+  /// Executing an action threw an exception. The remaining actions of the event are not executed. Called from
+  /// the `catch` block.
+  virtual void on_execution_failed(const std::exception& error) = 0;
+  /// The Balancer threw an exception for this event, and the actions that it had added are executed.
   virtual void after_failed_decision(const Event& event) = 0;
 };
 
 class DecisionLoop {
  public:
-  /// @param executor outlives the loop, as the clock does
-  /// @throws std::invalid_argument when the settings cannot be used.
+  /// @param clock must outlive the loop
+  /// @param executor must outlive the loop
+  /// @throws std::invalid_argument if the settings are invalid
   DecisionLoop(const Clock& clock, const Settings& settings, std::uint64_t seed, ActionExecutor& executor);
 
-  /// Hands the event to the Balancer, now or, from within the execution of an action, as soon as that is
-  /// over: the Balancer is never called from within itself.
+  /// Passes the event to the Balancer: immediately, or, if called while an event is being handled, after that
+  /// event. The Balancer is never called recursively.
   void enqueue_event(Event event);
   std::size_t unavailable_servers() const { return balancer_.unavailable_servers(clock_.now()); }
 
--- a/node/dispatch/dispatcher.cpp
+++ b/node/dispatch/dispatcher.cpp
@@ -13,49 +13,50 @@
 
 constexpr DeadlineMargin kMargin{};
 
-// What a request that is rejected unseen is advised to wait, as a fraction of the longest advice.
-constexpr double kOverflowRetryFraction = 0.5;
+// The Retry-After of a request rejected without a decision, as a fraction of the longest Retry-After.
+constexpr double kOverflowRetryAfterFraction = 0.5;
 
 }  // namespace
 
 Dispatcher::Dispatcher(asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
-                       std::size_t max_open, UpstreamClient& upstream, std::function<void()> watch)
+                       std::size_t max_open_requests, UpstreamClient& upstream,
+                       std::function<void()> start_watch)
     : io_(io),
       clock_(clock),
-      decisions_(clock, settings, seed, *this),
+      decision_loop_(clock, settings, seed, *this),
       must_watch_(settings.must_watch),
       rewatch_pauses_(seed),
-      max_open_(max_open),
-      overflow_retry_after_(settings.max_retry_after * kOverflowRetryFraction),
+      max_open_requests_(max_open_requests),
+      overflow_retry_after_(settings.max_retry_after * kOverflowRetryAfterFraction),
       upstream_(upstream),
-      watch_(std::move(watch)),
+      start_watch_(std::move(start_watch)),
       rewatch_timer_(io),
       request_log_(std::clog) {}
 
-void Dispatcher::start(const EndpointList& known) {
-  if (!known.endpoints.empty()) apply_endpoint_list(known);
-  decisions_.enqueue_event(Started{});
-  if (!must_watch_) watch_();
+void Dispatcher::start(const EndpointList& initial_endpoint_list) {
+  if (!initial_endpoint_list.endpoints.empty()) apply_endpoint_list(initial_endpoint_list);
+  decision_loop_.enqueue_event(Started{});
+  if (!must_watch_) start_watch_();
 }
 
-void Dispatcher::replace_settings(const Settings& settings, std::size_t max_open) {
+void Dispatcher::replace_settings(const Settings& settings, std::size_t max_open_requests) {
   const bool had_to_watch = std::exchange(must_watch_, settings.must_watch);
-  max_open_ = max_open;
-  overflow_retry_after_ = settings.max_retry_after * kOverflowRetryFraction;
+  max_open_requests_ = max_open_requests;
+  overflow_retry_after_ = settings.max_retry_after * kOverflowRetryAfterFraction;
   rewatch_pauses_.reset();
-  decisions_.enqueue_event(SettingsReplaced{settings});
-  if (had_to_watch && !must_watch_) watch_();
+  decision_loop_.enqueue_event(SettingsReplaced{settings});
+  if (had_to_watch && !must_watch_) start_watch_();
 }
 
 // ---------------------------------------------------------------- membership
 
 void Dispatcher::on_endpoint_list(const EndpointList& update) {
-  has_list_ = true;
+  has_received_endpoint_list_ = true;
   apply_endpoint_list(update);
 }
 
 void Dispatcher::apply_endpoint_list(const EndpointList& update) {
-  decisions_.enqueue_event(membership_.apply(update, *this));
+  decision_loop_.enqueue_event(membership_.apply(update, *this));
 }
 
 void Dispatcher::on_server_listed(const Endpoint& endpoint, bool usable) {
@@ -64,21 +65,22 @@
 
 void Dispatcher::on_server_removed(const std::string& name) { upstream_.remove_server(name); }
 
-// Watches that bring empty lines alone, while nothing changes, and then break are no failures. Counted as
-// such they would have the next ones wait ever longer, up to past the time when a change counts as notified.
+// A watch that receives only empty lines, because nothing changes, and then breaks is not a failure. Counting
+// it as one would lengthen the backoff of later watches, in the end beyond the time after which a change
+// counts as notified. The update without changes resets the backoff of the decision library.
 void Dispatcher::on_watch_alive() {
   rewatch_pauses_.reset();
   if (membership_.listed_servers() == 0) return;
-  decisions_.enqueue_event(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
+  decision_loop_.enqueue_event(MembershipUpdate{MembershipUpdate::Form::kChanges, {}});
 }
 
 void Dispatcher::on_watch_failed() {
-  decisions_.enqueue_event(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
+  decision_loop_.enqueue_event(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
   if (must_watch_) return;
-  // Where lists are pushed the decision library asks for none: it is for the node to stay connected.
+  // If discovery pushes lists, the decision library requests no polls, and the node reconnects by itself.
   rewatch_timer_.expires_after(Clock::span(rewatch_pauses_.next()));
   rewatch_timer_.async_wait([this](error_code cancelled) {
-    if (!cancelled) watch_();
+    if (!cancelled) start_watch_();
   });
 }
 
@@ -89,7 +91,7 @@
     if (const Endpoint* endpoint = membership_.find(name)) {
       on_server_listed(*endpoint, membership_.is_usable(*endpoint));
     }
-    decisions_.enqueue_event(ServerAdminStateChanged{name, enabled});
+    decision_loop_.enqueue_event(ServerAdminStateChanged{name, enabled});
   }
 }
 
@@ -97,17 +99,17 @@
 
 void Dispatcher::accept(Request event, std::shared_ptr<const OutgoingRequest> message,
                         AnswerCallback callback) {
-  // Rejected before the decision library hears of it, as the settings have it.
-  if (in_flight_requests_.size() >= max_open_) {
+  // The settings limit the open requests: above the limit the decision library does not see the request.
+  if (in_flight_requests_.size() >= max_open_requests_) {
     return callback({FinalAnswer::Kind::kRejected, overflow_retry_after_, {}, nullptr});
   }
   event.body_in_progress = message->rest != nullptr;
   InFlightRequest accepted(std::move(message), std::move(callback), event.request_class, event.time_left,
                            clock_.now());
   const auto entry = in_flight_requests_.try_emplace(event.id, std::move(accepted)).first;
-  if (!event.body_in_progress) start_clock(entry->first, entry->second);
+  if (!event.body_in_progress) start_deadline(entry->first, entry->second);
   event.time_left = std::max(0.0, event.time_left - kMargin.of(event.time_left));
-  decisions_.enqueue_event(std::move(event));
+  decision_loop_.enqueue_event(std::move(event));
 }
 
 InFlightRequest* Dispatcher::find(const std::string& id) {
@@ -120,58 +122,60 @@
   return request == nullptr || request->is_completed() ? nullptr : request;
 }
 
-void Dispatcher::start_clock(const std::string& id, InFlightRequest& request) {
-  set_end(id, request, std::min(clock_.now() + request.time_left(), last_answer_at_));
+void Dispatcher::start_deadline(const std::string& id, InFlightRequest& request) {
+  set_deadline(id, request, std::min(clock_.now() + request.time_left(), answers_due_at_));
 }
 
-void Dispatcher::set_end(const std::string& id, InFlightRequest& request, double end) {
-  const double fallback_at = kMargin.fallback_at(end, request.time_left());
+void Dispatcher::set_deadline(const std::string& id, InFlightRequest& request, double client_deadline) {
+  const double fallback_at = kMargin.fallback_at(client_deadline, request.time_left());
   auto timer = std::make_unique<asio::steady_timer>(io_, clock_.at(fallback_at));
   timer->async_wait([this, id](error_code cancelled) {
-    if (!cancelled) on_overdue(id);
+    if (!cancelled) on_fallback_timer(id);
   });
-  request.set_end(end, std::move(timer));
+  request.set_deadline(client_deadline, std::move(timer));
 }
 
-// What was accepted before may have been given longer than there is, also by classes that are not in force
-// any more, and would be open still when the process is killed. Bodies that are still arriving find the bound
-// when their clock starts.
-void Dispatcher::bound_answers(double seconds) {
-  last_answer_at_ = clock_.now() + seconds;
+// Requests accepted earlier, also those of request classes that are no longer in force, may have a later
+// deadline and would still be open when the process is killed. For a request whose body is still arriving,
+// start_deadline() applies the limit.
+void Dispatcher::answer_all_within(double seconds) {
+  answers_due_at_ = clock_.now() + seconds;
   for (auto& [id, request] : in_flight_requests_) {
-    if (request.is_due_after(last_answer_at_)) set_end(id, request, last_answer_at_);
+    if (request.has_deadline_after(answers_due_at_)) set_deadline(id, request, answers_due_at_);
   }
 }
 
 void Dispatcher::on_body_complete(const std::string& id) {
   InFlightRequest* const request = find_unanswered(id);
   if (request == nullptr) return;
-  start_clock(id, *request);
-  decisions_.enqueue_event(RequestBodyComplete{id});
+  start_deadline(id, *request);
+  decision_loop_.enqueue_event(RequestBodyComplete{id});
 }
 
 void Dispatcher::on_client_disconnected(const std::string& id) {
   InFlightRequest* const request = find_unanswered(id);
   if (request == nullptr) return;
   request->abandon(clock_.now());
-  decisions_.enqueue_event(RequestCancelled{id});
+  decision_loop_.enqueue_event(RequestCancelled{id});
   if (const InFlightRequest* cancelled = find(id)) withdraw_unsent_attempts(*cancelled);
   erase_if_settled(id);
 }
 
-// The decision library may fail, or hold on to a request for too long, and its timers may come late. It
-// cancels what it may; what is in flight besides ends by its own timeout, which lies before this one.
-void Dispatcher::on_overdue(const std::string& id) {
+// Covers a decision library that fails or keeps a request for too long, and timers that fire late. The
+// decision library cancels the attempts that it may cancel; other attempts end by their own timeout, which is
+// earlier than this timer.
+void Dispatcher::on_fallback_timer(const std::string& id) {
   InFlightRequest* const request = find_unanswered(id);
   if (request == nullptr) return;
   request->answer({FinalAnswer::Kind::kFailed, 0, {}, nullptr}, clock_.now());
-  decisions_.enqueue_event(RequestCancelled{id});
+  decision_loop_.enqueue_event(RequestCancelled{id});
   if (const InFlightRequest* cancelled = find(id)) withdraw_unsent_attempts(*cancelled);
   erase_if_settled(id);
 }
 
-// Without this a server would get to work, once a connection is up or it reads on, for nobody. Whether the
-// settings let attempts be cancelled says nothing about those that are not sent yet.
+// Otherwise a server would process a request that no client waits for, once the connection is established or
+// the server reads the rest of the request. The settings may forbid cancelling attempts, but this applies
+// only to attempts that have been sent.
 void Dispatcher::withdraw_unsent_attempts(const InFlightRequest& request) {
   for (const InFlightRequest::Attempt& attempt : request.attempts()) {
     upstream_.withdraw_unsent(attempt.handle);
@@ -185,7 +189,7 @@
   erase_if_settled(id);
 }
 
-// A request stays in the table as long as it is owed an answer or has attempts in flight.
+// A request stays in the table until it has its final answer and no attempts in flight.
 void Dispatcher::erase_if_settled(const std::string& id) {
   const auto entry = in_flight_requests_.find(id);
   if (entry == in_flight_requests_.end() || !entry->second.is_settled()) return;
@@ -204,13 +208,13 @@
           }};
 }
 
-// A large answer is the client's from its first bytes on.
+// A large response becomes the final answer as soon as its first bytes arrive.
 void Dispatcher::on_response_started(const std::string& id, std::size_t attempt, HttpResponse&& head,
                                      std::shared_ptr<BodyPipe> body, double elapsed) {
   InFlightRequest* const request = find_unanswered(id);
   if (request == nullptr) return body->close_reader();
   request->answer({FinalAnswer::Kind::kServed, 0, std::move(head), std::move(body)}, clock_.now());
-  decisions_.enqueue_event(ResponseStarted{id, static_cast<int>(attempt), elapsed});
+  decision_loop_.enqueue_event(ResponseStarted{id, static_cast<int>(attempt), elapsed});
 }
 
 void Dispatcher::on_attempt_ended(const std::string& id, std::size_t attempt, Outcome outcome,
@@ -229,7 +233,7 @@
   event.body_consumed = request->is_body_consumed();
   event.request_completed = request->is_completed();
   request->record_attempt(attempt, outcome, elapsed);
-  decisions_.enqueue_event(std::move(event));
+  decision_loop_.enqueue_event(std::move(event));
   erase_if_settled(id);
 }
 
@@ -238,12 +242,12 @@
 void Dispatcher::execute(const StartAttempt& action) {
   InFlightRequest* const request = find(action.id);
   if (request == nullptr) return;
-  // Without a limit of its own, or with a longer one, an attempt ends with its request.
+  // An attempt without a limit, or with a limit beyond the request's time, ends with the request.
   const double time_left = request->time_for_attempt(clock_.now());
   const auto bounded = [time_left](double limit) {
     return limit == 0 ? time_left : std::min(limit, time_left);
   };
-  // An attempt after the final answer is never sent.
+  // With a timeout of 0, an attempt started after the final answer is never sent.
   const double timeout = request->is_completed() ? 0 : bounded(action.timeout);
   const std::size_t attempt = request->add_attempt(action.server);
   request->set_attempt_handle(attempt,
@@ -270,29 +274,29 @@
 void Dispatcher::execute(const SetTimer& action) {
   const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.at(action.due_at));
   timer->async_wait([this, timer, token = action.token](error_code cancelled) {
-    if (!cancelled) decisions_.enqueue_event(TimerFired{token});
+    if (!cancelled) decision_loop_.enqueue_event(TimerFired{token});
   });
 }
 
-void Dispatcher::execute(const WatchMembership&) { watch_(); }
+void Dispatcher::execute(const WatchMembership&) { start_watch_(); }
 
 void Dispatcher::execute(const LogLine& action) { std::clog << action.text << '\n'; }
 
-// The fallback timer of each request still answers it in time. Once a log line: the next event may fail the
-// same way.
-void Dispatcher::on_decision_failed(const std::exception& problem) {
+// The fallback timer of each request still gives its final answer in time. Only the first error is logged:
+// the next events may fail in the same way.
+void Dispatcher::on_decision_failed(const std::exception& error) {
   if (!std::exchange(has_logged_decision_failure_, true)) {
-    std::clog << "decision library: " << problem.what() << '\n';
+    std::clog << "decision library: " << error.what() << '\n';
   }
 }
 
-void Dispatcher::on_execution_failed(const std::exception& problem) {
+void Dispatcher::on_execution_failed(const std::exception& error) {
   if (!std::exchange(has_logged_execution_failure_, true)) {
-    std::clog << "dispatcher: " << problem.what() << '\n';
+    std::clog << "dispatcher: " << error.what() << '\n';
   }
 }
 
-// A request over which the decision library failed before anything was sent is answered at once.
+// If the decision library fails for a new request and no attempt was started, the request fails at once.
 void Dispatcher::after_failed_decision(const Event& event) {
   const auto* accepted = std::get_if<Request>(&event);
   if (accepted == nullptr) return;
--- a/node/dispatch/dispatcher.h
+++ b/node/dispatch/dispatcher.h
@@ -1,7 +1,7 @@
 /// @file
-/// Stands between the decision library and the sockets: turns what happens into events, and actions into
-/// calls. It decides nothing; but it alone ensures that each accepted request gets exactly one final answer
-/// in time.
+/// Connects the decision library with the network code: reports network activity as events and executes
+/// actions. It makes no decisions of its own, but it ensures that each accepted request gets exactly one
+/// final answer in time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -31,38 +31,42 @@
 
 class Dispatcher : private ActionExecutor, private MembershipTracker::Observer {
  public:
-  /// @param max_open requests that may be in flight; others are rejected
-  /// @param watch polls discovery, or watches it anew
-  /// @throws std::invalid_argument when the settings cannot be used.
+  /// @param max_open_requests the most requests in flight; further requests are rejected
+  /// @param start_watch polls discovery or opens a watch
+  /// @throws std::invalid_argument if the settings are invalid
   Dispatcher(boost::asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
-             std::size_t max_open, UpstreamClient& upstream, std::function<void()> watch);
+             std::size_t max_open_requests, UpstreamClient& upstream, std::function<void()> start_watch);
 
-  /// Takes the endpoint list that is known from before, if any, and starts.
-  void start(const EndpointList& known);
+  /// Applies the initial endpoint list unless it is empty, then starts the decision library.
+  void start(const EndpointList& initial_endpoint_list);
   bool can_serve() const { return membership_.usable_servers() > 0; }
-  /// Whether discovery has sent any list, beside what is known from before.
-  bool has_list() const { return has_list_; }
+  /// Whether discovery has sent an endpoint list. The initial endpoint list does not count.
+  bool has_received_endpoint_list() const { return has_received_endpoint_list_; }
   bool is_listed(const std::string& server) const { return membership_.is_listed(server); }
   std::size_t listed_servers() const { return membership_.listed_servers(); }
-  std::size_t unavailable_servers() const { return decisions_.unavailable_servers(); }
-  /// @param settings that can be used: the decision library holds them valid
-  void replace_settings(const Settings& settings, std::size_t max_open);
-  /// The servers that operators have disabled, listed or not.
+  std::size_t unavailable_servers() const { return decision_loop_.unavailable_servers(); }
+  /// @param settings must be valid for the decision library
+  void replace_settings(const Settings& settings, std::size_t max_open_requests);
+  /// Replaces the set of servers that operators have disabled. They need not be listed.
   void set_disabled_servers(const std::set<std::string>& servers);
 
-  /// Takes a request whose client waits until `event.time_left` from now. The answer may come at once.
+  /// Accepts a request whose client gives up `event.time_left` s after the request's last byte. The callback
+  /// may run within this call.
   void accept(Request event, std::shared_ptr<const OutgoingRequest> message, AnswerCallback callback);
-  /// The last byte of a request whose body was still arriving has come; its time runs from here.
+  /// The last byte of a request body that was still arriving has arrived. The request's time starts now.
   void on_body_complete(const std::string& id);
-  /// Whether a request of this id is open, or has attempts in flight.
+  /// Whether the request with this id has no final answer yet or still has attempts in flight.
   bool is_open(const std::string& id) const { return in_flight_requests_.contains(id); }
   void on_client_disconnected(const std::string& id);
-  /// The process is to end: every request that is open then, or comes later, has its answer within this time.
+  /// For the end of the process: every open request and every request accepted later gets its final answer
+  /// within this time.
   /// @param seconds from now
-  void bound_answers(double seconds);
-  /// What discovery sends, that it is there though it may have nothing to send, and that it has stopped.
+  void answer_all_within(double seconds);
+  /// Discovery has sent a complete endpoint list or changes to it.
   void on_endpoint_list(const EndpointList& update);
+  /// A watch has received its first data, which may be an empty line.
   void on_watch_alive();
+  /// A watch or poll has ended.
   void on_watch_failed();
 
  private:
@@ -72,9 +76,9 @@
 
   [[nodiscard]] InFlightRequest* find(const std::string& id);
   [[nodiscard]] InFlightRequest* find_unanswered(const std::string& id);
-  void start_clock(const std::string& id, InFlightRequest& request);
-  void set_end(const std::string& id, InFlightRequest& request, double end);
-  void on_overdue(const std::string& id);
+  void start_deadline(const std::string& id, InFlightRequest& request);
+  void set_deadline(const std::string& id, InFlightRequest& request, double client_deadline);
+  void on_fallback_timer(const std::string& id);
   void answer_and_settle(const std::string& id, FinalAnswer&& answer);
   void withdraw_unsent_attempts(const InFlightRequest& request);
   void erase_if_settled(const std::string& id);
@@ -92,24 +96,24 @@
   void execute(const SetTimer& action) override;
   void execute(const WatchMembership& action) override;
   void execute(const LogLine& action) override;
-  void on_decision_failed(const std::exception& problem) override;
-  void on_execution_failed(const std::exception& problem) override;
+  void on_decision_failed(const std::exception& error) override;
+  void on_execution_failed(const std::exception& error) override;
   void after_failed_decision(const Event& event) override;
 
   boost::asio::io_context& io_;
   const Clock& clock_;
-  DecisionLoop decisions_;
-  bool must_watch_;  // the decision library asks for each poll; else lists are pushed
+  DecisionLoop decision_loop_;
+  bool must_watch_;  // true: the decision library requests each poll; false: discovery pushes lists
   RewatchPauses rewatch_pauses_;
-  std::size_t max_open_;
-  double overflow_retry_after_;  // s; what a request beyond `max_open_` is advised
+  std::size_t max_open_requests_;
+  double overflow_retry_after_;  // s; for requests beyond max_open_requests_
   UpstreamClient& upstream_;
-  std::function<void()> watch_;
+  std::function<void()> start_watch_;
   std::unordered_map<std::string, InFlightRequest> in_flight_requests_;
   MembershipTracker membership_;
-  bool has_list_ = false;
+  bool has_received_endpoint_list_ = false;
   boost::asio::steady_timer rewatch_timer_;
-  double last_answer_at_ = std::numeric_limits<double>::infinity();  // of a process that is to end
+  double answers_due_at_ = std::numeric_limits<double>::infinity();  // finite once the process is to end
   bool has_logged_execution_failure_ = false;
   bool has_logged_decision_failure_ = false;
   RequestLog request_log_;
--- a/node/dispatch/final_answer.h
+++ b/node/dispatch/final_answer.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a client gets for its request.
+/// The final answer to a client's request.
 #pragma once
 
 #include <functional>
@@ -9,13 +9,13 @@
 
 namespace nettleyoke::node {
 
-/// A request's final answer.
+/// The outcome that the client gets for its request.
 struct FinalAnswer {
   enum class Kind { kServed, kRejected, kFailed };
   Kind kind = Kind::kFailed;
-  double retry_after = 0;                    ///< rejected: s until the client may retry; 0: no advice
-  HttpResponse response;                     ///< served: the server's
-  std::shared_ptr<BodyPipe> body = nullptr;  ///< served: what the response does not hold, as it arrives
+  double retry_after = 0;                    ///< kRejected: s until the client may retry; 0: not stated
+  HttpResponse response;                     ///< kServed: the server's response
+  std::shared_ptr<BodyPipe> body = nullptr;  ///< kServed: the body if it is streamed; else null
 };
 
 using AnswerCallback = std::function<void(FinalAnswer&&)>;
--- a/node/dispatch/in_flight_request.cpp
+++ b/node/dispatch/in_flight_request.cpp
@@ -18,13 +18,14 @@
                      [](const Attempt& attempt) { return attempt.is_open; });
 }
 
-void InFlightRequest::set_end(double end, std::unique_ptr<boost::asio::steady_timer> fallback_timer) {
-  attempts_end_at_ = kMargin.attempts_end(end, time_left_);
+void InFlightRequest::set_deadline(double client_deadline,
+                                   std::unique_ptr<boost::asio::steady_timer> fallback_timer) {
+  attempts_end_at_ = kMargin.attempts_end(client_deadline, time_left_);
   fallback_timer_ = std::move(fallback_timer);
 }
 
-bool InFlightRequest::is_due_after(double bound) const {
-  return !is_completed() && fallback_timer_ && attempts_end_at_ + kMargin.of(time_left_) > bound;
+bool InFlightRequest::has_deadline_after(double time) const {
+  return !is_completed() && fallback_timer_ && attempts_end_at_ + kMargin.of(time_left_) > time;
 }
 
 double InFlightRequest::time_for_attempt(double now) const {
@@ -47,7 +48,7 @@
 void InFlightRequest::answer(FinalAnswer&& answer, double now) {
   const AnswerCallback callback = std::exchange(callback_, nullptr);
   fallback_timer_.reset();
-  history_.add_answer(answer.kind, now - accepted_at_);
+  history_.add_final_answer(answer.kind, now - accepted_at_);
   callback(std::move(answer));
 }
 
--- a/node/dispatch/in_flight_request.h
+++ b/node/dispatch/in_flight_request.h
@@ -1,6 +1,6 @@
 /// @file
-/// One request between its acceptance and its end: whether it is still owed an answer, its time, its attempts
-/// and its history. It never starts or cancels an attempt itself.
+/// The state of one accepted request until it is settled: its final answer, deadline, attempts and history.
+/// It does not start or cancel attempts.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -27,8 +27,8 @@
     AttemptHandle handle = {};
   };
 
-  /// @param time_left s that the client gives, from the last byte of the request
-  /// @param now s on the node's clock, as everywhere here
+  /// All times are in seconds on the node's clock.
+  /// @param time_left s that the client waits, from the last byte of the request
   InFlightRequest(std::shared_ptr<const OutgoingRequest> message, AnswerCallback callback,
                   std::size_t request_class, double time_left, double now);
 
@@ -36,21 +36,21 @@
   const RequestHistory& history() const { return history_; }
   double time_left() const { return time_left_; }
 
-  /// Whether no answer is owed any more: it is out, or nobody waits for it.
+  /// Whether the final answer has been given, or the client has disconnected.
   bool is_completed() const { return !callback_; }
   bool has_open_attempts() const;
-  /// Whether nothing of the request is left to happen.
+  /// Whether the request is completed and has no open attempts.
   bool is_settled() const { return is_completed() && !has_open_attempts(); }
-  /// Whether a part of the body is gone, so that the request can't be sent again.
+  /// Whether a part of the body is no longer in memory, so that the request can't be sent again.
   bool is_body_consumed() const { return !message_->is_complete(); }
 
-  /// The last byte has arrived, or the time is bounded anew.
-  /// @param end when the client gives up
-  /// @param fallback_timer fails the request if nothing else answers it
-  void set_end(double end, std::unique_ptr<boost::asio::steady_timer> fallback_timer);
-  /// Whether an answer is owed, its time runs, and the client would wait for longer than this.
-  bool is_due_after(double bound) const;
-  /// s that an attempt may take which starts now.
+  /// Called when the last byte of the request has arrived, and again if the deadline becomes earlier.
+  /// @param client_deadline when the client gives up
+  /// @param fallback_timer fails the request if it has no final answer by then
+  void set_deadline(double client_deadline, std::unique_ptr<boost::asio::steady_timer> fallback_timer);
+  /// Whether the request has no final answer yet, has a deadline, and the deadline is after this time.
+  bool has_deadline_after(double time) const;
+  /// @return the longest time in s that an attempt may take if it starts now
   double time_for_attempt(double now) const;
 
   /// @return the number of the attempt
@@ -61,9 +61,9 @@
   void record_attempt(std::size_t number, Outcome outcome, double elapsed);
   const std::vector<Attempt>& attempts() const { return attempts_; }
 
-  /// Gives the final answer, once.
+  /// Gives the final answer. To be called at most once.
   void answer(FinalAnswer&& answer, double now);
-  /// Nobody waits for the answer any more.
+  /// The client has disconnected: no final answer is given.
   void abandon(double now);
 
  private:
@@ -74,7 +74,7 @@
   double accepted_at_;
   double time_left_;
   double attempts_end_at_ = std::numeric_limits<double>::infinity();
-  std::unique_ptr<boost::asio::steady_timer> fallback_timer_;  // while the time runs
+  std::unique_ptr<boost::asio::steady_timer> fallback_timer_;  // null while there is no deadline
   std::vector<Attempt> attempts_;
   RequestHistory history_;
 };
--- a/node/dispatch/membership_tracker.cpp
+++ b/node/dispatch/membership_tracker.cpp
@@ -8,32 +8,33 @@
 MembershipUpdate MembershipTracker::apply(const EndpointList& update, Observer& observer) {
   MembershipUpdate event;
   event.form = update.is_full ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
-  std::set<std::string> named;
+  std::set<std::string> listed_names;
   for (const Endpoint& endpoint : update.endpoints) {
     const std::string& name = endpoint.server.address;
     if (endpoint.server.state == ServerState::kRemoved) {
       observer.on_server_removed(name);
-      listed_.erase(name);
+      listed_endpoints_.erase(name);
     } else {
-      listed_[name] = endpoint;
+      listed_endpoints_[name] = endpoint;
       observer.on_server_listed(endpoint, is_usable(endpoint));
     }
-    named.insert(name);
+    listed_names.insert(name);
     event.servers.push_back(endpoint.server);
   }
-  if (update.is_full) remove_unnamed(named, observer);
+  if (update.is_full) remove_missing_servers(listed_names, observer);
   count_usable();
   return event;
 }
 
-// What a full list lacks is removed.
-void MembershipTracker::remove_unnamed(const std::set<std::string>& named, Observer& observer) {
-  for (auto entry = listed_.begin(); entry != listed_.end();) {
-    if (named.contains(entry->first)) {
+// Removes the servers that a full list does not contain.
+void MembershipTracker::remove_missing_servers(const std::set<std::string>& listed_names,
+                                               Observer& observer) {
+  for (auto entry = listed_endpoints_.begin(); entry != listed_endpoints_.end();) {
+    if (listed_names.contains(entry->first)) {
       ++entry;
     } else {
       observer.on_server_removed(entry->first);
-      entry = listed_.erase(entry);
+      entry = listed_endpoints_.erase(entry);
     }
   }
 }
@@ -52,13 +53,14 @@
 }
 
 const Endpoint* MembershipTracker::find(const std::string& name) const {
-  const auto entry = listed_.find(name);
-  return entry == listed_.end() ? nullptr : &entry->second;
+  const auto entry = listed_endpoints_.find(name);
+  return entry == listed_endpoints_.end() ? nullptr : &entry->second;
 }
 
 void MembershipTracker::count_usable() {
-  usable_servers_ = static_cast<std::size_t>(std::count_if(
-      listed_.begin(), listed_.end(), [this](const auto& entry) { return is_usable(entry.second); }));
+  usable_servers_ =
+      static_cast<std::size_t>(std::count_if(listed_endpoints_.begin(), listed_endpoints_.end(),
+                                             [this](const auto& entry) { return is_usable(entry.second); }));
 }
 
 }  // namespace nettleyoke::node
--- a/node/dispatch/membership_tracker.h
+++ b/node/dispatch/membership_tracker.h
@@ -1,6 +1,6 @@
 /// @file
-/// Which servers are listed and which of them may get new work. It owns the endpoint list in force and the
-/// set of administratively disabled servers; it never talks to discovery or to a server.
+/// Tracks which servers are listed and which of them may get new attempts. Owns the current endpoint list and
+/// the set of disabled servers; it does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,8 @@
 
 class MembershipTracker {
  public:
-  /// Hears of each server whose entry changes, in the order of the list.
+  /// Notified of each server in an update, in the order of the update, then of each server that a full list
+  /// lacks.
   class Observer {
    public:
     Observer() = default;
@@ -27,27 +28,28 @@
     virtual void on_server_removed(const std::string& name) = 0;
   };
 
+  /// Applies a full endpoint list or changes.
   /// @return the event for the decision library
   [[nodiscard]] MembershipUpdate apply(const EndpointList& update, Observer& observer);
-  /// Takes the set of disabled servers, listed or not.
-  /// @return the names that were put in or taken out, in order
+  /// Replaces the set of disabled servers, which need not be listed.
+  /// @return the names of the servers that were disabled or enabled by this call, sorted
   [[nodiscard]] std::vector<std::string> set_disabled(const std::set<std::string>& servers);
 
-  bool is_listed(const std::string& name) const { return listed_.contains(name); }
+  bool is_listed(const std::string& name) const { return listed_endpoints_.contains(name); }
   bool is_disabled(const std::string& name) const { return disabled_.contains(name); }
-  /// Whether a server may get new work.
+  /// Whether a server is ready and not disabled, so that it may get new attempts.
   bool is_usable(const Endpoint& endpoint) const;
-  /// @return the entry of a server, or null
+  /// @return null if the server is not listed
   [[nodiscard]] const Endpoint* find(const std::string& name) const;
-  std::size_t listed_servers() const { return listed_.size(); }
-  /// Listed servers that may get new work.
+  std::size_t listed_servers() const { return listed_endpoints_.size(); }
+  /// The number of listed servers for which is_usable() holds.
   std::size_t usable_servers() const { return usable_servers_; }
 
  private:
-  void remove_unnamed(const std::set<std::string>& named, Observer& observer);
+  void remove_missing_servers(const std::set<std::string>& listed_names, Observer& observer);
   void count_usable();
 
-  std::unordered_map<std::string, Endpoint> listed_;
+  std::unordered_map<std::string, Endpoint> listed_endpoints_;
   std::set<std::string> disabled_;
   std::size_t usable_servers_ = 0;
 };
--- a/node/dispatch/request_log.cpp
+++ b/node/dispatch/request_log.cpp
@@ -54,30 +54,30 @@
 
 void RequestHistory::add_attempt(const std::string& server, Outcome outcome, double elapsed) {
   text_ += ", " + server + " " + name_of(outcome) + " after " + milliseconds(elapsed);
-  went_badly_ |= outcome != Outcome::kSucceeded;
+  needs_logging_ |= outcome != Outcome::kSucceeded;
 }
 
-void RequestHistory::add_answer(FinalAnswer::Kind kind, double elapsed) {
+void RequestHistory::add_final_answer(FinalAnswer::Kind kind, double elapsed) {
   text_ += std::string(", ") + name_of(kind) + " after " + milliseconds(elapsed);
-  went_badly_ |= kind != FinalAnswer::Kind::kServed;
+  needs_logging_ |= kind != FinalAnswer::Kind::kServed;
 }
 
 void RequestHistory::add_client_disconnect(double elapsed) {
-  text_ += ", its client left after " + milliseconds(elapsed);
-  went_badly_ = true;
+  text_ += ", client disconnected after " + milliseconds(elapsed);
+  needs_logging_ = true;
 }
 
 void RequestLog::write(const std::string& id, const RequestHistory& history, double now) {
-  if (history.went_badly() && admit_line(now)) out_ << "request " << id << history.text() << '\n';
+  if (history.needs_logging() && admit_line(now)) out_ << "request " << id << history.text() << '\n';
 }
 
 bool RequestLog::admit_line(double now) {
-  if (now >= second_began_at_ + 1) {
-    second_began_at_ = now;
-    lines_this_second_ = 0;
+  if (now >= window_started_at_ + 1) {
+    window_started_at_ = now;
+    lines_in_window_ = 0;
   }
-  lines_this_second_ += 1;
-  return lines_this_second_ <= kMaxLinesPerSecond;
+  lines_in_window_ += 1;
+  return lines_in_window_ <= kMaxLinesPerSecond;
 }
 
 }  // namespace nettleyoke::node
--- a/node/dispatch/request_log.h
+++ b/node/dispatch/request_log.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the log says of requests that ended badly. RequestHistory collects the line of one request;
-/// RequestLog bounds how many lines are written.
+/// The log lines of requests with errors. RequestHistory builds the line of one request; RequestLog limits
+/// how many lines are written.
 #pragma once
 
 #include <cstddef>
@@ -12,29 +12,28 @@
 
 namespace nettleyoke::node {
 
-/// What became of one request, in the order in which it happened. All times are in seconds.
+/// The attempts and the end of one request, in the order in which they happened. All times are in seconds.
 class RequestHistory {
  public:
   RequestHistory(std::size_t request_class, double time_left);
 
   void add_attempt(const std::string& server, Outcome outcome, double elapsed);
-  void add_answer(FinalAnswer::Kind kind, double elapsed);
+  void add_final_answer(FinalAnswer::Kind kind, double elapsed);
   void add_client_disconnect(double elapsed);
 
-  /// Whether anything about the request went badly, so that it is logged.
-  bool went_badly() const { return went_badly_; }
+  /// Whether an attempt failed, the final answer was not a server's response, or the client disconnected.
+  bool needs_logging() const { return needs_logging_; }
   const std::string& text() const { return text_; }
 
  private:
   std::string text_;
-  bool went_badly_ = false;
+  bool needs_logging_ = false;
 };
 
-/// Writes a line about each request that went badly, up to a bound, so that such a request can be followed
-/// from its first byte to its last.
+/// Writes one line with the whole history of each request that needs logging, up to a limit per second.
 class RequestLog {
  public:
-  /// A flood of failures gets no more lines than this.
+  /// Limits the log when many requests fail at once.
   static constexpr int kMaxLinesPerSecond = 100;
 
   explicit RequestLog(std::ostream& out) : out_(out) {}
@@ -46,8 +45,8 @@
   [[nodiscard]] bool admit_line(double now);
 
   std::ostream& out_;
-  double second_began_at_ = 0;  // when the count began, anew each second
-  int lines_this_second_ = 0;
+  double window_started_at_ = 0;  // s; the window lasts one second
+  int lines_in_window_ = 0;
 };
 
 }  // namespace nettleyoke::node
--- a/node/dispatch/rewatch_pauses.h
+++ b/node/dispatch/rewatch_pauses.h
@@ -1,6 +1,6 @@
 /// @file
-/// The pauses between watches that break, for a host whose lists are pushed. It owns the count of failures
-/// and the random draws; the timer is its host's.
+/// The backoff between watches that fail, for a host to which discovery pushes lists. Holds the number of
+/// failures and the source of the jitter; the host owns the timer.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,17 @@
  public:
   explicit RewatchPauses(std::uint64_t seed) : random_(static_cast<std::minstd_rand::result_type>(seed)) {}
 
-  /// A watch has brought something.
+  /// Called when a watch has received data.
   void reset() { failures_ = 0; }
-  /// A watch has broken.
-  /// @return s until the next is due
+  /// Called when a watch has failed.
+  /// @return s to wait before the next watch
   [[nodiscard]] double next() {
     return rewatch_backoff(failures_++, std::uniform_real_distribution<>()(random_));
   }
 
  private:
   std::minstd_rand random_;
-  int failures_ = 0;  // since a watch brought anything
+  int failures_ = 0;  // since a watch last received data
 };
 
 }  // namespace nettleyoke::node
--- a/node/downstream/graceful_shutdown.cpp
+++ b/node/downstream/graceful_shutdown.cpp
@@ -49,7 +49,7 @@
   phase_ = Phase::kDraining;
   done_ = std::move(done);
   const Seconds longest_wait = longest_client_wait(catalog);
-  dispatcher_.bound_answers((kMaxClientWait + kLastAnswerMargin).count());
+  dispatcher_.answer_all_within((kMaxClientWait + kLastAnswerMargin).count());
   last_answer_due_ = Clock::Steady::now() + Clock::span((longest_wait + kLastAnswerMargin).count());
   if (admission_.is_listener_inherited()) {
     admission_.leave_inherited_listener();
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -109,7 +109,7 @@
     return;
   }
   if (error) return abort_start("operators", error);
-  std::clog << "nettleyoke " << config_.name << ": operators at " << admin_server_.local() << '\n';
+  std::clog << "nettleyoke " << config_.name << ": operators at " << admin_server_.local_endpoint() << '\n';
 }
 
 void Node::listen_for_clients() {
@@ -159,7 +159,7 @@
 
 bool Node::is_ready() const {
   if (!dispatcher_.can_serve() || downstream_.draining()) return false;
-  return dispatcher_.has_list() || loop_.clock().now() >= kMaxListWaitSeconds;
+  return dispatcher_.has_received_endpoint_list() || loop_.clock().now() >= kMaxListWaitSeconds;
 }
 
 std::string Node::set_server(const std::string& id, bool enable) {
--- a/tests/node/admin_command_test.cpp
+++ b/tests/node/admin_command_test.cpp
@@ -23,10 +23,10 @@
 }
 
 TEST(AdminCommand, NoCall_Parsed_ReasonSaysWhatIsKnown) {
-  EXPECT_EQ(reason_against("READY "), "READY takes nothing more");
-  EXPECT_EQ(reason_against("DISABLE"), "DISABLE takes one server's id");
-  EXPECT_EQ(reason_against("ENABLE a b"), "ENABLE takes one server's id");
-  EXPECT_EQ(reason_against("ready"), "unknown call; READY, STATS, DISABLE ID and ENABLE ID are known");
+  EXPECT_EQ(reason_against("READY "), "READY takes no argument");
+  EXPECT_EQ(reason_against("DISABLE"), "DISABLE takes exactly one server id");
+  EXPECT_EQ(reason_against("ENABLE a b"), "ENABLE takes exactly one server id");
+  EXPECT_EQ(reason_against("ready"), "unknown command; must be READY, STATS, DISABLE ID or ENABLE ID");
 }
 
 TEST(AdminCommand, Reply_Formatted_ToTheByte) {
--- a/tests/node/dispatch_test.cpp
+++ b/tests/node/dispatch_test.cpp
@@ -56,7 +56,7 @@
   EXPECT_TRUE(request.is_settled());
   ASSERT_EQ(answers.size(), 1U);
   EXPECT_EQ(answers[0].kind, FinalAnswer::Kind::kServed);
-  EXPECT_FALSE(request.history().went_badly());
+  EXPECT_FALSE(request.history().needs_logging());
   EXPECT_EQ(request.history().text(), ", class 3, given 1000 ms, served after 250 ms");
 }
 
@@ -76,26 +76,26 @@
   request.abandon(10.1);
   EXPECT_TRUE(request.is_settled());
   EXPECT_TRUE(answers.empty());
-  EXPECT_TRUE(request.history().went_badly());
-  EXPECT_EQ(request.history().text(), ", class 3, given 1000 ms, its client left after 100 ms");
+  EXPECT_TRUE(request.history().needs_logging());
+  EXPECT_EQ(request.history().text(), ", class 3, given 1000 ms, client disconnected after 100 ms");
 }
 
 TEST_F(InFlight, AttemptsEndAMarginBeforeTheClientGivesUp) {
   boost::asio::io_context io;
   EXPECT_DOUBLE_EQ(request.time_for_attempt(10), 0.98);  // while its body is arriving
-  EXPECT_FALSE(request.is_due_after(0));
-  request.set_end(11, std::make_unique<boost::asio::steady_timer>(io));
+  EXPECT_FALSE(request.has_deadline_after(0));
+  request.set_deadline(11, std::make_unique<boost::asio::steady_timer>(io));
   EXPECT_DOUBLE_EQ(request.time_for_attempt(10.5), 11 - 0.02 - 10.5);
-  EXPECT_TRUE(request.is_due_after(10.9));
-  EXPECT_FALSE(request.is_due_after(11.1));
+  EXPECT_TRUE(request.has_deadline_after(10.9));
+  EXPECT_FALSE(request.has_deadline_after(11.1));
   request.abandon(10.6);
-  EXPECT_FALSE(request.is_due_after(10.9));
+  EXPECT_FALSE(request.has_deadline_after(10.9));
 }
 
 TEST_F(InFlight, HistoryNamesEachAttempt) {
   const std::size_t first = request.add_attempt("a"), second = request.add_attempt("b");
   request.record_attempt(first, Outcome::kReset, 0.012);
-  EXPECT_TRUE(request.history().went_badly());
+  EXPECT_TRUE(request.history().needs_logging());
   request.record_attempt(second, Outcome::kSucceeded, 0.003);
   EXPECT_EQ(request.history().text(), ", class 3, given 1000 ms, a reset after 12 ms, b answered after 3 ms");
 }
@@ -107,7 +107,7 @@
   RequestLog log(out);
   RequestHistory history(0, 1);
   history.add_attempt("a", Outcome::kSucceeded, 0.1);
-  history.add_answer(FinalAnswer::Kind::kServed, 0.1);
+  history.add_final_answer(FinalAnswer::Kind::kServed, 0.1);
   log.write("good", history, 5);
   EXPECT_EQ(out.str(), "");
 }
@@ -116,7 +116,7 @@
   std::ostringstream out;
   RequestLog log(out);
   RequestHistory history(0, 1);
-  history.add_answer(FinalAnswer::Kind::kFailed, 1);
+  history.add_final_answer(FinalAnswer::Kind::kFailed, 1);
   const auto lines = [&out] {
     const std::string text = out.str();
     return std::count(text.begin(), text.end(), '\n');
--- a/tests/node/harness/held_server_deployment.h
+++ b/tests/node/harness/held_server_deployment.h
@@ -28,7 +28,7 @@
       const std::string log = program->log();
       const std::size_t at = log.find("request " + id + ",");
       return at != std::string::npos &&
-             log.substr(at, log.find('\n', at) - at).find("its client left") != std::string::npos;
+             log.substr(at, log.find('\n', at) - at).find("client disconnected after") != std::string::npos;
     });
   }
   /// Whether the last request in flight comes to its end.
