--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -11,9 +11,9 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// What discovery sends counts as notified so soon after it has moved.
+// After discovery has moved, a change that it sends counts as notified once this time has passed.
 constexpr std::chrono::seconds kMoveGracePeriod{4};
-// Until then the pause between watches, in the mean.
+// The mean pause between watches during the grace period.
 constexpr double kMoveRetrySeconds = 0.3;
 
 }  // namespace
@@ -26,16 +26,16 @@
       clock_(clock),
       listener_(std::move(listener)),
       jitter_(static_cast<std::minstd_rand::result_type>(seed)),
-      move_retry_(io) {}
+      move_retry_timer_(io) {}
 
 DiscoveryClient::~DiscoveryClient() {
   if (watch_) watch_->detach();
 }
 
-// A timer for a new watch may stand from before discovery moved. A second call would cost its turn at a
-// discovery that works through calls one by one, and the first one's response with it.
+// The caller may still have a timer for a watch from before discovery moved. At a discovery that processes
+// requests one at a time, replacing the open watch would lose its place in the queue and its response.
 void DiscoveryClient::watch() {
-  if (!watch_ && !is_pausing_) open();
+  if (!watch_ && !is_move_retry_pending_) open();
 }
 
 void DiscoveryClient::open() {
@@ -48,11 +48,12 @@
 void DiscoveryClient::move_to(const tcp::endpoint& address) {
   if (address == address_ && watch_) return;
   address_ = address;
-  // Nothing says that versions are counted alike at both addresses: a change between them must not be missed.
+  // The two addresses may count list versions differently; a complete list makes sure that no change is
+  // missed.
   list_version_ = 0;
-  following_move_until_ = Clock::Steady::now() + kMoveGracePeriod;
-  is_pausing_ = false;
-  cancel_timer(move_retry_);
+  move_grace_ends_at_ = Clock::Steady::now() + kMoveGracePeriod;
+  is_move_retry_pending_ = false;
+  cancel_timer(move_retry_timer_);
   open();
 }
 
@@ -61,13 +62,13 @@
   try {
     list = parse_endpoint_list(object, directory_, clock_);
   } catch (const std::exception& error) {
-    // Whatever the error, also one of memory: the old list stays. Its changes are missed, so the watch starts
-    // again from before it.
-    log_first_problem(std::string("discovery: ") + error.what());
+    // On any error, including std::bad_alloc, the current list stays in force. The changes in this object are
+    // lost, so this watch ends and the next one continues at the current version.
+    log_first_error(std::string("discovery: ") + error.what());
     return false;
   }
-  has_logged_problem_ = false;
-  following_move_until_ = {};
+  has_logged_error_ = false;
+  move_grace_ends_at_ = {};
   list_version_ = list.version;
   listener_.on_list(list);
   return true;
@@ -76,30 +77,30 @@
 void DiscoveryClient::on_alive() { listener_.on_alive(); }
 
 void DiscoveryClient::on_malformed() {
-  log_first_problem("discovery: a list that is broken or was not finished");
+  log_first_error("discovery: endpoint list is malformed or incomplete");
 }
 
 void DiscoveryClient::on_ended() {
   watch_.reset();
-  if (Clock::Steady::now() >= following_move_until_) return listener_.on_failure();
-  open_after_pause();
+  if (Clock::Steady::now() >= move_grace_ends_at_) return listener_.on_failure();
+  schedule_move_retry();
 }
 
-// What discovery sends counts as notified soon after a move, and the decision library's own pauses, which
-// grow with each failure, add up to more than that. Many nodes are moved together: hence the jitter.
-void DiscoveryClient::open_after_pause() {
-  is_pausing_ = true;
+// The decision library's own backoff grows with each failure and adds up to more than the grace period.
+// The jitter spreads the retries, because many nodes are moved at the same time.
+void DiscoveryClient::schedule_move_retry() {
+  is_move_retry_pending_ = true;
   const double jitter = std::uniform_real_distribution<>()(jitter_);
-  move_retry_.expires_after(Clock::span(kMoveRetrySeconds * (0.5 + jitter)));
-  move_retry_.async_wait([this](error_code cancelled) {
-    if (cancelled || Clock::Steady::now() < move_retry_.expiry()) return;
-    is_pausing_ = false;
+  move_retry_timer_.expires_after(Clock::span(kMoveRetrySeconds * (0.5 + jitter)));
+  move_retry_timer_.async_wait([this](error_code cancelled) {
+    if (cancelled || Clock::Steady::now() < move_retry_timer_.expiry()) return;
+    is_move_retry_pending_ = false;
     open();
   });
 }
 
-void DiscoveryClient::log_first_problem(const std::string& text) {
-  if (!std::exchange(has_logged_problem_, true)) std::clog << text << '\n';
+void DiscoveryClient::log_first_error(const std::string& text) {
+  if (!std::exchange(has_logged_error_, true)) std::clog << text << '\n';
 }
 
 }  // namespace nettleyoke::node
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -1,7 +1,8 @@
-/// Keeps the endpoint list in step with discovery.
+/// @file
+/// Receives endpoint list updates from discovery.
 ///
-/// Owns the one watch that is open and the list version that it continues from. It never keeps the list
-/// itself, and opens a watch again by itself only while it follows a move of discovery.
+/// Owns the watch that is open, if any, and the list version at which the next watch continues. It does not
+/// store the list, and reopens a watch on its own only for a short time after discovery has moved.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,35 +18,36 @@
 
 #include "clock.h"
 #include "discovery/endpoint_list.h"
-#include "discovery/rewatch_backoff.h"  // the pause that callers of watch() keep
+#include "discovery/rewatch_backoff.h"  // the backoff that callers of watch() apply
 #include "discovery/watch_connection.h"
 
 namespace nettleyoke::node {
 
 class DiscoveryClient final : private WatchConnection::Observer {
  public:
-  /// None is called from within watch().
+  /// No callback runs within watch().
   struct Listener {
-    std::function<void(const EndpointList&)> on_list;  ///< each complete list and each change
-    std::function<void()> on_alive;                    ///< a watch has brought anything, be it an empty line
-    std::function<void()> on_failure;  ///< once, when a watch has ended; the next is up to you
+    std::function<void(const EndpointList&)> on_list;  ///< a complete list or changes
+    std::function<void()> on_alive;    ///< once for each watch, with its first object or empty line
+    std::function<void()> on_failure;  ///< once, when a watch has ended; the owner opens the next
   };
 
-  /// @param seed of the jitter alone.
+  /// @param seed for the jitter of the retries after a move
   DiscoveryClient(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
                   ZoneDirectory directory, const Clock& clock, std::uint64_t seed, Listener listener);
   ~DiscoveryClient() override;
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  /// Opens a watch on the changes after the list in hand, unless one is open or about to be.
+  /// Opens a watch that continues after the current list version, unless a watch is open or scheduled.
   void watch();
-  /// Discovery has moved: the watch goes on at the new address, with the complete list.
+  /// Discovery has moved: opens a watch at the new address and requests the complete list.
   void move_to(const boost::asio::ip::tcp::endpoint& address);
   void set_directory(ZoneDirectory directory) { directory_ = std::move(directory); }
-  /// The version of the list in hand; 0 for none.
+  /// @param version the current list version; 0 if there is no list
   void set_list_version(std::uint64_t version) { list_version_ = version; }
-  /// Whether a call is answered at once, as by an agent that lists are pushed to; else it may have to wait.
+  /// @param responds_immediately true if discovery responds to a watch at once, such as a discovery agent to
+  /// which lists are pushed; false if a watch may have to wait in discovery's queue
   void set_responds_immediately(bool responds_immediately) { responds_immediately_ = responds_immediately; }
 
  private:
@@ -55,8 +57,8 @@
   void on_ended() override;
 
   void open();
-  void open_after_pause();
-  void log_first_problem(const std::string& text);
+  void schedule_move_retry();
+  void log_first_error(const std::string& text);
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
@@ -66,10 +68,10 @@
   std::minstd_rand jitter_;
   std::uint64_t list_version_ = 0;
   std::shared_ptr<WatchConnection> watch_;
-  Clock::Steady::time_point following_move_until_;  // until a list has come from the new address
-  boost::asio::steady_timer move_retry_;
-  bool is_pausing_ = false;  // between two watches after a move
-  bool has_logged_problem_ = false;
+  Clock::Steady::time_point move_grace_ends_at_;  // reset by the first list from the new address
+  boost::asio::steady_timer move_retry_timer_;
+  bool is_move_retry_pending_ = false;  // move_retry_timer_ is running
+  bool has_logged_error_ = false;
   bool responds_immediately_ = false;
 };
 
--- a/node/discovery/endpoint_list.cpp
+++ b/node/discovery/endpoint_list.cpp
@@ -15,7 +15,7 @@
   json::wrong("status", "up, draining or removed");
 }
 
-// A zone that the directory doesn't name gets the number after its last.
+// A zone that is not in the directory gets the number after the directory's last zone.
 int read_zone(const json::Value& item, const ZoneDirectory& directory) {
   const auto zone = std::find(directory.zones.begin(), directory.zones.end(), json::text(item, "zone"));
   return static_cast<int>(zone - directory.zones.begin());
@@ -28,21 +28,21 @@
 }
 
 Endpoint read_endpoint(const json::Value& item, const ZoneDirectory& directory, const Clock& clock) {
-  Endpoint member;
-  Server& server = member.server;
+  Endpoint result;
+  Server& server = result.server;
   server.address = json::text(item, "name");
   server.state = read_state(item);
-  // A server that was removed needs no more than its name.
+  // For a removed server the address is optional.
   if (json::find(item, "address") != nullptr || server.state != ServerState::kRemoved) {
     const auto endpoint = parse_endpoint(json::text(item, "address"));
     if (!endpoint) json::wrong("address", "an address with a port");
-    member.endpoint = *endpoint;
+    result.endpoint = *endpoint;
   }
   if (json::find(item, "zone") != nullptr) server.zone = read_zone(item, directory);
   server.cell = json::whole_or(item, "group", 0);
   server.weight = json::number_or(item, "weight", 1);
   if (json::find(item, "since_ms") != nullptr) server.started = read_start_time(item, clock);
-  return member;
+  return result;
 }
 
 }  // namespace
@@ -57,11 +57,11 @@
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
   const std::string_view digits = text.substr(colon + 1);
   std::uint16_t port = 0;
-  const auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-  if (problem != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
-  boost::system::error_code bad_address;
-  const auto address = boost::asio::ip::make_address(std::string(host), bad_address);
-  if (bad_address) return std::nullopt;
+  const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
+  if (error != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
+  boost::system::error_code address_error;
+  const auto address = boost::asio::ip::make_address(std::string(host), address_error);
+  if (address_error) return std::nullopt;
   return boost::asio::ip::tcp::endpoint(address, port);
 }
 
@@ -82,9 +82,9 @@
 
 EndpointList parse_endpoint_list(std::string_view text, const ZoneDirectory& directory, const Clock& clock) {
   rapidjson::Document document;
-  // Iterative: however deeply a text nests, it doesn't cost the stack.
+  // The iterative parser does not overflow the stack on deeply nested text.
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (document.HasParseError()) throw EndpointListError("", "not valid JSON");
+  if (document.HasParseError()) throw EndpointListError("", "endpoint list is not valid JSON");
   return read_endpoint_list(document, directory, clock);
 }
 
--- a/node/discovery/endpoint_list.h
+++ b/node/discovery/endpoint_list.h
@@ -1,6 +1,5 @@
-/// The endpoint list as discovery sends it, and its parsing.
-///
-/// Knows the words of discovery's JSON; holds no connection and decides nothing.
+/// @file
+/// The endpoint list and the parser of discovery's JSON format. No I/O.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,28 +16,29 @@
 
 namespace nettleyoke::node {
 
-/// The names that discovery has for what the decision library knows by number.
+/// Maps the zone names that discovery uses to the zone numbers of the decision library.
 struct ZoneDirectory {
-  std::vector<std::string> zones;  ///< in the order of the zones' numbers
+  std::vector<std::string> zones;  ///< the index is the zone number
 };
 
-/// A server with the address at which it is reached.
+/// A server and its network address.
 struct Endpoint {
-  Server server;  ///< its `address` is the server's name: the same at every node, as real addresses are not
+  /// Its `address` is the server's name, which is the same on every node; network addresses are not.
+  Server server;
   boost::asio::ip::tcp::endpoint endpoint;
 };
 
-/// One watch event: a complete endpoint list, or what changed in it.
+/// One watch event: a complete endpoint list or the entries that changed.
 struct EndpointList {
   std::uint64_t version = 0;
-  bool is_full = false;
+  bool is_full = false;  ///< complete list: servers that it does not contain are removed
   std::vector<Endpoint> endpoints;
 };
 
-/// A watch event that can't be read.
+/// A watch event that is malformed.
 class EndpointListError : public std::runtime_error {
  public:
-  /// @param field the field that is at fault; empty where the text is no JSON at all.
+  /// @param field the invalid field; empty if the text is not valid JSON
   EndpointListError(std::string field, const std::string& message);
 
   const std::string& field() const { return field_; }
@@ -47,16 +47,18 @@
   std::string field_;
 };
 
-/// Reads "address:port", where an IPv6 address may stand in brackets. Nothing where the text is no such pair.
+/// Parses "address:port"; an IPv6 address may be in brackets.
+/// @return nothing if the text has another form
 [[nodiscard]] std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view text);
 
-/// @param clock turns the servers' Unix start times into the node's time.
-/// @throws EndpointListError
+/// Reads a watch event from a parsed JSON object.
+/// @param clock converts the servers' start times from Unix time to the node's clock
+/// @throws EndpointListError if a field is missing or invalid
 [[nodiscard]] EndpointList read_endpoint_list(const json::Value& object, const ZoneDirectory& directory,
                                               const Clock& clock);
 
-/// The same from a watch event's text.
-/// @throws EndpointListError
+/// Parses the JSON text of a watch event.
+/// @throws EndpointListError if the text is not valid JSON, or a field is missing or invalid
 [[nodiscard]] EndpointList parse_endpoint_list(std::string_view text, const ZoneDirectory& directory,
                                                const Clock& clock);
 
--- a/node/discovery/object_splitter.cpp
+++ b/node/discovery/object_splitter.cpp
@@ -14,13 +14,13 @@
     }
     if (character == ' ' || character == '\t' || character == '\r') continue;
     if (character == '\n') {
-      if (!std::exchange(line_is_empty_, true)) continue;
-      // An object that was cut off would swallow those that follow it, and no list would come any more.
+      if (!std::exchange(is_line_empty_, true)) continue;
+      // Otherwise a truncated object would absorb all later objects, and no further list would be received.
       if (is_inside_object()) return Item::kMalformed;
       discard_scanned();
       return Item::kEmptyLine;
     }
-    line_is_empty_ = false;
+    is_line_empty_ = false;
     if (!is_inside_object() && !begin_object(character)) return Item::kMalformed;
     scan_bracket(character);
     if (is_inside_object()) continue;
@@ -32,7 +32,7 @@
   return text_.size() > kMaxObjectBytes ? Item::kMalformed : Item::kNone;
 }
 
-// Drops what stands before the object; false where the character opens none.
+// Drops the bytes before the object. Returns false if the character does not start an object.
 bool ObjectSplitter::begin_object(char character) {
   if (character != '{') return false;
   --scanned_;
--- a/node/discovery/object_splitter.h
+++ b/node/discovery/object_splitter.h
@@ -1,7 +1,8 @@
-/// Cuts the byte stream of a watch into JSON objects.
+/// @file
+/// Splits the byte stream of a watch into JSON objects.
 ///
-/// Objects come split over reads, joined and indented as discovery pleases, with empty lines between them and
-/// none within. Nothing is parsed here beyond strings and brackets.
+/// Objects may be split over several reads, follow each other without a separator, and be indented. Empty
+/// lines are allowed between objects but not inside them. Only strings and brackets are recognized.
 #pragma once
 
 #include <cstddef>
@@ -12,24 +13,24 @@
 
 class ObjectSplitter {
  public:
-  /// What the bytes so far end with.
+  /// The kinds of items in the stream.
   enum class Item {
-    kNone,       ///< nothing more that is complete
-    kEmptyLine,  ///< a sign of life
+    kNone,       ///< no further complete item
+    kEmptyLine,  ///< sent to show that the connection works
     kObject,
-    kMalformed,  ///< the stream can't be followed any more
+    kMalformed,  ///< the rest of the stream can't be split
   };
 
-  /// The most bytes that one object may take.
+  /// The maximum size of an object.
   static constexpr std::size_t kMaxObjectBytes = std::size_t{4} * 1024 * 1024;
 
   void append(std::string_view bytes) { text_ += bytes; }
 
-  /// Whether an object has begun and not ended.
+  /// Whether the first bytes of an object have arrived but not its last.
   [[nodiscard]] bool is_inside_object() const { return depth_ > 0; }
 
-  /// Takes the next item off the stream.
-  /// @param object set to the object's text for kObject, else left as it is.
+  /// Removes the next item from the stream.
+  /// @param object set to the object's text for kObject, otherwise unchanged
   [[nodiscard]] Item next(std::string& object);
 
  private:
@@ -38,12 +39,12 @@
   void scan_bracket(char character);
   void discard_scanned();
 
-  std::string text_;  // from where the object begins
+  std::string text_;  // the bytes not yet returned as an item
   std::size_t scanned_ = 0;
   std::size_t depth_ = 0;
   bool is_in_string_ = false;
   bool is_escaped_ = false;
-  bool line_is_empty_ = true;
+  bool is_line_empty_ = true;
 };
 
 }  // namespace nettleyoke::node
--- a/node/discovery/rewatch_backoff.h
+++ b/node/discovery/rewatch_backoff.h
@@ -1,16 +1,17 @@
+/// @file
 /// The backoff between watches on the endpoint list.
 #pragma once
 
 namespace nettleyoke::node {
 
-/// How long to wait before a watch that ended is opened again.
+/// Computes how long to wait before a watch that ended is opened again.
 ///
-/// It starts short and grows little: where lists are pushed, a change counts as notified whether or not a
-/// watch is open, and a drained server must get no new work half a second later. It is jittered, for many
-/// nodes lose their watches together and must not all come back at once.
-/// @param failures watches since the last one that brought anything.
-/// @param jitter from 0 to 1, uniform.
-/// @return seconds.
+/// The backoff starts short and grows little: if lists are pushed, a change counts as notified whether or not
+/// a watch is open, and a draining server must get no new requests half a second later. The jitter is needed
+/// because many nodes lose their watches at the same time and must not reconnect all at once.
+/// @param failures number of watches since the last one that received data
+/// @param jitter uniformly distributed from 0 to 1
+/// @return seconds
 [[nodiscard]] double rewatch_backoff(int failures, double jitter);
 
 }  // namespace nettleyoke::node
--- a/node/discovery/watch_connection.cpp
+++ b/node/discovery/watch_connection.cpp
@@ -13,19 +13,19 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// Without a byte on a watch that is open. An empty line comes every 2 s: one that is missed, and some
-// lateness, show that the watch is dead. A change counts as notified 6 s later, so that more patience breaks
-// a drain.
-constexpr milliseconds kMaxSilence{3000};
-// For the connection, and for the head of a response from an agent that answers at once. With the patience
-// for a watch that is open, a second one that fails too would take all the time until what is missed counts
-// as notified.
+// The longest time without a byte on an open watch. Discovery sends an empty line every 2 s: if one is
+// missing after some tolerance, the watch is dead. A change counts as notified after 6 s: with a longer
+// timeout a draining server could still get requests after that.
+constexpr milliseconds kIdleTimeout{3000};
+// For connecting, and for the response head from an agent that responds immediately. With kIdleTimeout
+// instead, two failed watches in a row would take all the time until a missed change counts as notified.
 constexpr milliseconds kConnectTimeout{1000};
 constexpr milliseconds kHeadTimeout{1000};
-// From the connect; by then such an agent has sent something, and the complete list where that is owed. Parts
-// that are each in time add up, behind a silence, to more than until a change counts as notified.
+// From the start of the connect until an agent that responds immediately must have sent the first item, and
+// the complete list if it was requested. Without this limit, steps that each stay within their own timeout
+// could add up, after a silence, to more than the time until a change counts as notified.
 constexpr milliseconds kFirstListTimeout{2000};
-// For nothing more to come amid an object, and for all of it.
+// The longest time without a byte inside an object, and the longest time for a whole object.
 constexpr milliseconds kObjectStallTimeout{1000};
 constexpr milliseconds kObjectTimeout{1500};
 
@@ -38,7 +38,7 @@
 }  // namespace
 
 WatchConnection::WatchConnection(asio::io_context& io, Observer& observer, bool responds_immediately)
-    : observer_(&observer), socket_(io), deadline_(io), responds_immediately_(responds_immediately) {}
+    : observer_(&observer), socket_(io), deadline_timer_(io), responds_immediately_(responds_immediately) {}
 
 void WatchConnection::start(const asio::ip::tcp::endpoint& address, std::uint64_t after_version) {
   parser_.body_limit(boost::none);
@@ -50,9 +50,9 @@
   request_.target(target);
   request_.version(kHttp11);
   request_.set(http::field::host, address.address().to_string() + ":" + std::to_string(address.port()));
-  owes_list_ = responds_immediately_ && after_version == 0;
-  call_limit_ = from_now(responds_immediately_ ? kFirstListTimeout : kMaxSilence);
-  expect_bytes_within(kConnectTimeout);
+  awaits_full_list_ = responds_immediately_ && after_version == 0;
+  startup_deadline_ = from_now(responds_immediately_ ? kFirstListTimeout : kIdleTimeout);
+  set_read_deadline(kConnectTimeout);
   socket_.async_connect(address, [self = shared_from_this()](error_code error) {
     if (error || self->state_ == State::kEnded) return self->end();
     self->send_request();
@@ -61,7 +61,7 @@
 
 void WatchConnection::send_request() {
   state_ = State::kAwaitingHead;
-  expect_bytes_within(responds_immediately_ ? kHeadTimeout : kMaxSilence);
+  set_read_deadline(responds_immediately_ ? kHeadTimeout : kIdleTimeout);
   http::async_write(socket_, request_, [self = shared_from_this()](error_code error, std::size_t) {
     if (error) return self->end();
     self->read();
@@ -73,7 +73,7 @@
                         [self = shared_from_this()](error_code error, std::size_t) { self->on_read(error); });
 }
 
-// An error may come with the last bytes of a response, which count first.
+// A read may return the last bytes of a response together with an error: the bytes are processed first.
 void WatchConnection::on_read(error_code error) {
   if (state_ == State::kEnded) return;
   if (parser_.is_header_done()) {
@@ -90,10 +90,10 @@
   if (is_first) state_ = State::kAwaitingFirstItem;
   std::string& body = parser_.get().body();
   if (body.empty()) {
-    if (is_first) expect_bytes_within(responds_immediately_ ? kHeadTimeout : kMaxSilence);
+    if (is_first) set_read_deadline(responds_immediately_ ? kHeadTimeout : kIdleTimeout);
     return;
   }
-  // An object may take its time, and no longer for the bytes that it still brings.
+  // The deadline of an object starts with its first bytes; later bytes do not extend it.
   bool object_begins = !splitter_.is_inside_object();
   splitter_.append(body);
   body.clear();
@@ -103,20 +103,23 @@
     if (!on_item(item, object)) return;
     object_begins = true;
   }
-  // A call that had to wait has had its turn; the time that it waited is not the list's.
-  if (!responds_immediately_ || (state_ == State::kAlive && !owes_list_)) call_limit_ = TimePoint::max();
-  if (object_begins) object_limit_ = from_now(kObjectTimeout);
-  expect_bytes_within(splitter_.is_inside_object() ? kObjectStallTimeout : kMaxSilence);
+  // A watch that had to wait in discovery's queue has left it with its first bytes: the waiting time does not
+  // count against the list.
+  if (!responds_immediately_ || (state_ == State::kAlive && !awaits_full_list_)) {
+    startup_deadline_ = TimePoint::max();
+  }
+  if (object_begins) object_deadline_ = from_now(kObjectTimeout);
+  set_read_deadline(splitter_.is_inside_object() ? kObjectStallTimeout : kIdleTimeout);
 }
 
-// False once the watch has ended, be it by what the observer did.
+// Returns false if the watch has ended, which the observer may also cause.
 bool WatchConnection::on_item(ObjectSplitter::Item item, const std::string& object) {
   if (item == ObjectSplitter::Item::kMalformed) {
     end_malformed();
     return false;
   }
   if (item == ObjectSplitter::Item::kObject) {
-    owes_list_ = false;
+    awaits_full_list_ = false;
     const bool accepted = observer_->on_object(object);
     if (state_ == State::kEnded) return false;
     if (!accepted) {
@@ -131,12 +134,12 @@
   return state_ != State::kEnded;
 }
 
-// Also within the limits on the whole call and on an object that has begun.
-void WatchConnection::expect_bytes_within(Duration patience) {
-  const TimePoint object_limit = splitter_.is_inside_object() ? object_limit_ : call_limit_;
-  deadline_.expires_at(std::min({from_now(patience), call_limit_, object_limit}));
-  deadline_.async_wait([self = shared_from_this()](error_code cancelled) {
-    if (cancelled || Clock::Steady::now() < self->deadline_.expiry()) return;
+// The deadline is earlier if the startup deadline or the deadline of an incomplete object comes first.
+void WatchConnection::set_read_deadline(Duration timeout) {
+  const TimePoint object_deadline = splitter_.is_inside_object() ? object_deadline_ : startup_deadline_;
+  deadline_timer_.expires_at(std::min({from_now(timeout), startup_deadline_, object_deadline}));
+  deadline_timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+    if (cancelled || Clock::Steady::now() < self->deadline_timer_.expiry()) return;
     self->on_deadline();
   });
 }
@@ -165,7 +168,7 @@
 void WatchConnection::close() {
   state_ = State::kEnded;
   error_code ignored;
-  cancel_timer(deadline_);
+  cancel_timer(deadline_timer_);
   socket_.close(ignored);
 }
 
--- a/node/discovery/watch_connection.h
+++ b/node/discovery/watch_connection.h
@@ -1,7 +1,8 @@
-/// One watch on the endpoint list: a connection to discovery, from the connect to the end of its response.
+/// @file
+/// One watch on the endpoint list: a connection to discovery, from the connect to the end of the response.
 ///
-/// Owns the socket, the deadlines on each step and the cutting of the response into objects. It never opens
-/// another watch and doesn't read the objects; both are its observer's.
+/// Owns the socket and the deadline of each step, and splits the response into objects. The observer parses
+/// the objects and opens the next watch.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +21,7 @@
 
 class WatchConnection : public std::enable_shared_from_this<WatchConnection> {
  public:
-  /// Hears of the watch, until on_ended or detach(), never from within start().
+  /// Receives the events of the watch until on_ended() or detach(). Not called within start().
   class Observer {
    public:
     Observer() = default;
@@ -28,31 +29,33 @@
     Observer(const Observer&) = delete;
     Observer& operator=(const Observer&) = delete;
 
-    /// An object has come; false ends the watch.
+    /// An object has been received.
+    /// @return false to end the watch
     [[nodiscard]] virtual bool on_object(std::string_view object) = 0;
-    /// Once, after the first object or empty line.
+    /// Called once, after the first object or empty line.
     virtual void on_alive() = 0;
-    /// The response can't be followed, or an object wasn't finished in time; on_ended follows.
+    /// The response is malformed, or an object was not completed in time; on_ended() follows.
     virtual void on_malformed() = 0;
-    /// Once, last.
+    /// Called once, as the last event.
     virtual void on_ended() = 0;
   };
 
-  /// @param responds_immediately whether a call is answered at once, as by an agent that lists are pushed to.
-  /// Otherwise it may have to wait for its turn, and gets more time for its first bytes.
+  /// @param responds_immediately true if discovery responds at once, such as a discovery agent to which lists
+  /// are pushed; false if the watch may have to wait in discovery's queue: it gets more time for its first
+  /// bytes
   WatchConnection(boost::asio::io_context& io, Observer& observer, bool responds_immediately);
 
-  /// @param after_version the version of the list in hand; 0 asks for the complete list.
+  /// @param after_version the current list version; 0 requests the complete list
   void start(const boost::asio::ip::tcp::endpoint& address, std::uint64_t after_version);
 
-  /// Ends the watch without a word to the observer.
+  /// Ends the watch without notifying the observer.
   void detach();
 
  private:
   enum class State {
     kConnecting,
     kAwaitingHead,
-    kAwaitingFirstItem,  // the head has come, and neither an object nor an empty line
+    kAwaitingFirstItem,  // the head has arrived, but no object or empty line
     kAlive,
     kEnded,
   };
@@ -64,24 +67,24 @@
   void on_read(boost::system::error_code error);
   void on_body();
   [[nodiscard]] bool on_item(ObjectSplitter::Item item, const std::string& object);
-  void expect_bytes_within(Duration patience);
+  void set_read_deadline(Duration timeout);
   void on_deadline();
   void end_malformed();
   void end();
   void close();
 
-  Observer* observer_;  // none once the watch has ended
+  Observer* observer_;  // null once the watch has ended
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer deadline_;
+  boost::asio::steady_timer deadline_timer_;
   boost::beast::http::request<boost::beast::http::empty_body> request_;
   boost::beast::http::response_parser<boost::beast::http::string_body> parser_;
   boost::beast::flat_buffer buffer_;
   ObjectSplitter splitter_;
-  TimePoint call_limit_ = TimePoint::max();    // for what the call owes before it may idle
-  TimePoint object_limit_ = TimePoint::max();  // for the object that has begun
+  TimePoint startup_deadline_ = TimePoint::max();  // for the first item and a requested complete list
+  TimePoint object_deadline_ = TimePoint::max();   // for the rest of an incomplete object
   State state_ = State::kConnecting;
-  const bool responds_immediately_;  // as the settings had it when the watch began
-  bool owes_list_ = false;
+  const bool responds_immediately_;  // from the settings in force when the watch began
+  bool awaits_full_list_ = false;
 };
 
 }  // namespace nettleyoke::node
--- a/tests/node/endpoint_list_test.cpp
+++ b/tests/node/endpoint_list_test.cpp
@@ -44,7 +44,7 @@
 }
 
 TEST(EndpointListParsing, FieldWrong_Parsed_ErrorNamesIt) {
-  EXPECT_EQ(field_at_fault("{"), "|not valid JSON");
+  EXPECT_EQ(field_at_fault("{"), "|endpoint list is not valid JSON");
   EXPECT_EQ(field_at_fault("{}"), "index|field 'index' is missing");
   EXPECT_EQ(field_at_fault(R"({"index":1,"endpoints":[{"name":"s","status":"well"}]})"),
             "status|field 'status' is not up, draining or removed");
