--- a/node/downstream/graceful_shutdown.cpp
+++ b/node/downstream/graceful_shutdown.cpp
@@ -52,7 +52,7 @@
   phase_ = Phase::kShuttingDown;
   done_ = std::move(done);
   const Seconds longest_wait = longest_client_wait(catalog);
-  dispatcher_.bound_answers((kMaxClientWait + kLastResponseMargin).count());
+  dispatcher_.answer_all_within((kMaxClientWait + kLastResponseMargin).count());
   last_response_due_ = Clock::Steady::now() + Clock::span((longest_wait + kLastResponseMargin).count());
   if (admission_.is_listener_inherited()) {
     admission_.close_inherited_listener();
