--- a/lab/load/http_client.cpp
+++ b/lab/load/http_client.cpp
@@ -77,7 +77,7 @@
   void begin(std::string bytes, double patience, OnResponse on_response) {
     bytes_ = std::move(bytes);
     on_response_ = std::move(on_response);
-    deadline_ = Clock::Steady::now() + Clock::span(patience);
+    deadline_ = Clock::Steady::now() + Clock::to_duration(patience);
     timer_.expires_at(deadline_);
     timer_.async_wait([self = shared_from_this()](error_code cancelled) {
       if (cancelled || Clock::Steady::now() < self->timer_.expiry() || self->owner_ == nullptr) return;
--- a/lab/load/load_generator.cpp
+++ b/lab/load/load_generator.cpp
@@ -82,7 +82,7 @@
 
 void LoadGenerator::wait_for_arrival() {
   if (stopped_ || next_arrival_ == arrivals_.size()) return;
-  timer_.expires_at(clock_.at(started_at_ + arrivals_[next_arrival_].at));
+  timer_.expires_at(clock_.to_time_point(started_at_ + arrivals_[next_arrival_].at));
   timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     while (next_arrival_ < arrivals_.size() && started_at_ + arrivals_[next_arrival_].at <= clock_.now()) {
@@ -112,7 +112,7 @@
   if (allowance.retries_left <= 0 || stopped_) return;
   ++waiting_retries_;
   const double pause = spec_.retry_pause > 0 ? retry_random_.exponential(spec_.retry_pause) : 0;
-  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, Clock::span(pause));
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, Clock::to_duration(pause));
   timer->async_wait([this, timer, node, call, allowance](error_code cancelled) mutable {
     --waiting_retries_;
     call.timeout = allowance.deadline - clock_.now();
--- a/lab/net/loopback.cpp
+++ b/lab/net/loopback.cpp
@@ -39,7 +39,7 @@
 }
 
 void run_after(asio::io_context& io, double seconds, std::function<void()> action) {
-  const auto timer = std::make_shared<asio::steady_timer>(io, node::Clock::span(seconds));
+  const auto timer = std::make_shared<asio::steady_timer>(io, node::Clock::to_duration(seconds));
   timer->async_wait([timer, action = std::move(action)](error_code cancelled) {
     if (!cancelled) action();
   });
--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -61,7 +61,7 @@
 HollowNode::~HollowNode() { *alive_ = false; }
 
 void HollowNode::run_later(double seconds, std::function<void()> callback) {
-  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(seconds));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::to_duration(seconds));
   timer->async_wait([timer, alive = alive_, callback = std::move(callback)](error_code cancelled) {
     if (!cancelled && *alive) callback();
   });
@@ -80,17 +80,17 @@
   metrics_.add_classes(config_.class_names);
   start_discovery();
   start_operators_line();
-  if (!config_.known.endpoints.empty()) apply_endpoint_list(config_.known);
+  if (!config_.initial_endpoint_list.endpoints.empty()) apply_endpoint_list(config_.initial_endpoint_list);
   decisions_->enqueue_event(Started{});
   if (!config_.settings.must_watch) discovery_->watch();
   run_later(0, [this] { std::exchange(ready_, nullptr)(); });
 }
 
 void HollowNode::start_discovery() {
-  discovery_ = std::make_unique<node::DiscoveryClient>(io_, config_.discovery, config_.directory, clock_,
+  discovery_ = std::make_unique<node::DiscoveryClient>(io_, config_.discovery, config_.zone_directory, clock_,
                                                        config_.seed, discovery_listener());
   discovery_->set_responds_immediately(!config_.settings.must_watch);
-  discovery_->set_list_version(config_.known.version);
+  discovery_->set_list_version(config_.initial_endpoint_list.version);
 }
 
 node::DiscoveryClient::Listener HollowNode::discovery_listener() {
@@ -111,7 +111,7 @@
                  return metrics_.to_json({membership_.listed_servers(), decisions_->unavailable_servers()});
                },
                [this](const std::string& server, bool enable) { return set_enabled(server, enable); }});
-  if (config_.ops) admin_server_->listen(*config_.ops);
+  if (config_.admin_address) admin_server_->listen(*config_.admin_address);
 }
 
 std::string HollowNode::set_enabled(const std::string& server, bool enable) {
@@ -123,7 +123,7 @@
 }
 
 std::optional<asio::ip::tcp::endpoint> HollowNode::admin_endpoint() const {
-  return config_.ops && admin_server_ ? std::optional(admin_server_->local()) : std::nullopt;
+  return config_.admin_address && admin_server_ ? std::optional(admin_server_->local()) : std::nullopt;
 }
 
 void HollowNode::shut_down() {
@@ -170,7 +170,8 @@
   accepted.class_number = call.class_number;
   accepted.ended = std::move(ended);
   accepted.time_left = call.timeout;
-  if (in_flight_calls_.size() > config_.max_open) return answer_and_settle(call.id, CallOutcome::kRejected);
+  if (in_flight_calls_.size() > config_.max_open_requests)
+    return answer_and_settle(call.id, CallOutcome::kRejected);
   const double end = clock_.now() + call.timeout;
   accepted.attempts_end_at = kMargin.attempts_end(end, call.timeout);
   accepted.fallback_timer = end_at(kMargin.fallback_at(end, call.timeout), call.id, CallOutcome::kFailed);
@@ -206,7 +207,7 @@
 
 std::unique_ptr<asio::steady_timer> HollowNode::end_at(double due_at, const std::string& id,
                                                        CallOutcome ending) {
-  auto timer = std::make_unique<asio::steady_timer>(io_, clock_.at(due_at));
+  auto timer = std::make_unique<asio::steady_timer>(io_, clock_.to_time_point(due_at));
   timer->async_wait([this, alive = alive_, id, ending](error_code cancelled) {
     if (!cancelled && *alive) cancel_call(id, ending);
   });
@@ -269,7 +270,7 @@
                                                 [this, alive = alive_, id, number](AttemptOutcome how) {
                                                   if (*alive) on_attempt_ended(id, number, outcome_of(how));
                                                 });
-  attempt.timeout_timer = std::make_unique<asio::steady_timer>(io_, Clock::span(timeout));
+  attempt.timeout_timer = std::make_unique<asio::steady_timer>(io_, Clock::to_duration(timeout));
   attempt.timeout_timer->async_wait([this, alive = alive_, id, number](error_code cancelled) {
     if (!cancelled && *alive) on_attempt_timeout(id, number);
   });
--- a/lab/run/experiment_run.cpp
+++ b/lab/run/experiment_run.cpp
@@ -209,7 +209,7 @@
   }
 
   void wait_for_tick(double due) {
-    tick_timer_.expires_at(clock_.at(due));
+    tick_timer_.expires_at(clock_.to_time_point(due));
     tick_timer_.async_wait([this, due](error_code cancelled) {
       if (cancelled) return;
       monitor_.record(due, clock_.now());
--- a/lab/run/fault_injector.cpp
+++ b/lab/run/fault_injector.cpp
@@ -37,7 +37,7 @@
 
 void FaultInjector::wait_for_next() {
   if (next_ == faults_.size()) return;
-  timer_.expires_at(clock_.at(first_call_ + faults_[next_].at));
+  timer_.expires_at(clock_.to_time_point(first_call_ + faults_[next_].at));
   timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     inject(faults_[next_++]);
--- a/lab/stand_ins/discovery_agent.cpp
+++ b/lab/stand_ins/discovery_agent.cpp
@@ -153,7 +153,7 @@
 }
 
 void DiscoveryAgent::send_heartbeats() {
-  heartbeat_timer_.expires_after(Clock::span(kHeartbeatSeconds));
+  heartbeat_timer_.expires_after(Clock::to_duration(kHeartbeatSeconds));
   heartbeat_timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     if (!is_down_) {
--- a/lab/stand_ins/server_connection.cpp
+++ b/lab/stand_ins/server_connection.cpp
@@ -68,7 +68,7 @@
 }
 
 void ServerStandIn::Connection::wait_while_idle() {
-  idle_timer_.expires_after(Clock::span(owner_->limits_.idle_timeout));
+  idle_timer_.expires_after(Clock::to_duration(owner_->limits_.idle_timeout));
   idle_timer_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (cancelled || self->owner_ == nullptr || Clock::Steady::now() < self->idle_timer_.expiry()) return;
     if (!self->is_processing_) self->close();
--- a/lab/stand_ins/server_model.cpp
+++ b/lab/stand_ins/server_model.cpp
@@ -47,7 +47,7 @@
   // Requests that run together share the cores; one that runs already keeps the speed that it began with.
   const double share = std::min(1.0, static_cast<double>(shape_.cores) / static_cast<double>(running_));
   job.timer = std::make_unique<boost::asio::steady_timer>(
-      io_, Clock::span(job.work / std::max(kMinSpeed, current_speed() * share)));
+      io_, Clock::to_duration(job.work / std::max(kMinSpeed, current_speed() * share)));
   job.timer->async_wait([this, job_id](error_code cancelled) {
     if (!cancelled) finish(job_id);
   });
--- a/node/clock.h
+++ b/node/clock.h
@@ -1,7 +1,8 @@
-/// The one clock of a node.
+/// @file
+/// The clock of a node.
 ///
-/// The decision library has its times as seconds since the node started; this class stands between those and
-/// the steady clock that timers run on.
+/// The decision library measures time in seconds since the node started. This class converts between those
+/// seconds and the steady clock that timers use.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -16,24 +17,27 @@
 
   /// Seconds since the node started.
   double now() const { return std::chrono::duration<double>(Steady::now() - start_).count(); }
-  /// The point on the steady clock that lies so many seconds after the start.
-  Steady::time_point at(double seconds) const { return start_ + span(seconds); }
-  /// So many seconds as a duration of the steady clock.
-  static Steady::duration span(double seconds) {
+  /// The steady-clock time that is `seconds` after the node started.
+  Steady::time_point to_time_point(double seconds) const { return start_ + to_duration(seconds); }
+  /// Converts seconds to a duration of the steady clock.
+  static Steady::duration to_duration(double seconds) {
     return std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double>(seconds));
   }
 
-  /// A Unix time as seconds since the node started, negative where it lies before. Never 0 for a time that is
-  /// known, and 0 for 0: that means "long ago", here as there.
+  /// Converts a Unix time to seconds since the node started; negative for a time before the start.
   ///
-  /// The offset between the clocks is taken once: were it taken anew, the same start of a server would come
-  /// out a little different each time and look like another start.
+  /// 0 means "long ago" on both sides: it stays 0, and no other time is converted to 0.
+  ///
+  /// The offset between the two clocks is measured once. If it were measured at each call, the same start
+  /// time of a server would give slightly different results and look like a restart of the server.
+  ///
+  /// @param unix_ms milliseconds since the Unix epoch
   double from_unix_ms(std::int64_t unix_ms) const {
     constexpr double kMillisecondsPerSecond = 1000;
-    constexpr double kSoonestKnownSeconds = 1e-6;
+    constexpr double kSmallestNonZeroSeconds = 1e-6;
     if (unix_ms == 0) return 0;
     const double seconds = static_cast<double>(unix_ms - unix_start_ms_) / kMillisecondsPerSecond;
-    return seconds == 0 ? kSoonestKnownSeconds : seconds;
+    return seconds == 0 ? kSmallestNonZeroSeconds : seconds;
   }
 
  private:
@@ -43,10 +47,11 @@
                                     .count();
 };
 
-/// Calls off a timer, also from where nothing may be thrown.
+/// Cancels a timer without throwing.
 ///
-/// A handler whose timer has expired may be on its way already: it has to compare the timer's expiry, which
-/// is never reached after this call, with the time.
+/// If the timer has already expired, its handler may be queued and still runs without an error. Such a
+/// handler has to compare the timer's expiry with the current time: this call sets the expiry to a time that
+/// is never reached.
 inline void cancel_timer(boost::asio::steady_timer& timer) {
   boost::system::error_code ignored;
   timer.expires_at(Clock::Steady::time_point::max(), ignored);
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -13,44 +13,45 @@
 namespace nettleyoke::node {
 namespace {
 
-constexpr const char* kFileVariable = "RELAY_CONFIG";
+constexpr const char* kConfigPathVariable = "RELAY_CONFIG";
 
 // ---------------------------------------------------------------- keys
 
-void gather_keys(const json::Value& value, const std::string& path, std::set<std::string>& keys);
+void collect_keys(const json::Value& value, const std::string& path, std::set<std::string>& keys);
 
-void gather_keys_of_object(const json::Value& object, const std::string& path, std::set<std::string>& keys) {
+void collect_keys_of_object(const json::Value& object, const std::string& path, std::set<std::string>& keys) {
   for (const auto& entry : object.GetObject()) {
     std::string key = path + (path.empty() ? "" : ".");
     key.append(entry.name.GetString(), entry.name.GetStringLength());
-    // The known servers are for the start alone.
+    // The initial endpoint list is used only at the start, so a reload does not require it.
     if (entry.value.IsNull() || key == "known") continue;
     keys.insert(key);
-    gather_keys(entry.value, key, keys);
+    collect_keys(entry.value, key, keys);
   }
 }
 
-// Of an array, the keys that each of its items has.
-void gather_keys_of_array(const json::Value& array, const std::string& path, std::set<std::string>& keys) {
-  std::set<std::string> common;
+// Adds the keys that all items of the array have.
+void collect_keys_of_array(const json::Value& array, const std::string& path, std::set<std::string>& keys) {
+  std::set<std::string> common_keys;
   for (rapidjson::SizeType i = 0; i < array.Size(); ++i) {
-    std::set<std::string> keys_of_item;
-    gather_keys(array[i], path + "[]", keys_of_item);
-    std::set<std::string> in_both;
-    std::set_intersection(common.begin(), common.end(), keys_of_item.begin(), keys_of_item.end(),
-                          std::inserter(in_both, in_both.end()));
-    common = i == 0 ? std::move(keys_of_item) : std::move(in_both);
+    std::set<std::string> item_keys;
+    collect_keys(array[i], path + "[]", item_keys);
+    std::set<std::string> intersection;
+    std::set_intersection(common_keys.begin(), common_keys.end(), item_keys.begin(), item_keys.end(),
+                          std::inserter(intersection, intersection.end()));
+    common_keys = i == 0 ? std::move(item_keys) : std::move(intersection);
   }
-  keys.merge(common);
+  keys.merge(common_keys);
 }
 
-// Adds the paths of all keys in the value, which stands at `path` itself.
-void gather_keys(const json::Value& value, const std::string& path, std::set<std::string>& keys) {
-  if (value.IsObject()) gather_keys_of_object(value, path, keys);
-  if (value.IsArray()) gather_keys_of_array(value, path, keys);
+// Adds the paths of all keys in `value`; `path` is the path of `value` itself.
+void collect_keys(const json::Value& value, const std::string& path, std::set<std::string>& keys) {
+  if (value.IsObject()) collect_keys_of_object(value, path, keys);
+  if (value.IsArray()) collect_keys_of_array(value, path, keys);
 }
 
-// Keys that may come and go: the settings' own page says so, or they belong to some classes alone.
+// Whether a reload may omit the key: the description of the settings declares it optional, or only some
+// request classes have it.
 bool is_optional(const std::string& key) {
   constexpr std::string_view kOptionalKeys[] = {
       "settings.categories[].aimStretch",  "settings.categories[].group",
@@ -65,9 +66,8 @@
   constexpr int kHexadecimal = 16;
   const std::string_view digits = json::text(document, "seed");
   std::uint64_t seed = 0;
-  const auto [end, problem] =
-      std::from_chars(digits.data(), digits.data() + digits.size(), seed, kHexadecimal);
-  if (problem != std::errc() || end != digits.data() + digits.size()) {
+  const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, kHexadecimal);
+  if (error != std::errc() || end != digits.data() + digits.size()) {
     json::wrong("seed", "a hexadecimal number");
   }
   return seed;
@@ -82,7 +82,7 @@
 double read_timeout(const json::Value& bounds, const char* field, double default_seconds) {
   constexpr double kMaxSeconds = 1e6;
   const double seconds = json::number_or(bounds, field, default_seconds);
-  if (!(seconds > 0 && seconds < kMaxSeconds)) json::wrong(field, "a number above 0");
+  if (!(seconds > 0 && seconds < kMaxSeconds)) json::wrong(field, "a number between 0 and 1000000 seconds");
   return seconds;
 }
 
@@ -107,7 +107,7 @@
   config.name = json::find(document, "name") != nullptr ? std::string(json::text(document, "name")) : "node";
   config.listen = read_address(document, "listen");
   config.discovery = read_address(document, "discovery");
-  if (json::find(document, "ops") != nullptr) config.ops = read_address(document, "ops");
+  if (json::find(document, "ops") != nullptr) config.admin_address = read_address(document, "ops");
   config.seed = read_seed(document);
 }
 
@@ -136,48 +136,48 @@
   if (json::find(settings, "realms") != nullptr) {
     config.tenant_names = read_names(json::array(settings, "realms"));
   }
-  if (json::find(settings, "azs") != nullptr) config.directory.zones = read_zones(settings);
+  if (json::find(settings, "azs") != nullptr) config.zone_directory.zones = read_zones(settings);
 }
 
 void read_bounds(const json::Value& bounds, Config& config) {
-  constexpr double kDefaultConnectSeconds = 0.25;
-  constexpr double kDefaultIdleSeconds = 5;
-  constexpr int kDefaultOpenRequests = 20000;
-  config.connect_timeout = read_timeout(bounds, "dialTimeout", kDefaultConnectSeconds);
-  config.server_idle_timeout = read_timeout(bounds, "idleClose", kDefaultIdleSeconds);
-  const int max_open = json::whole_or(bounds, "maxOpen", kDefaultOpenRequests);
-  if (max_open < 1) json::wrong("maxOpen", "at least 1");
-  config.max_open = static_cast<std::size_t>(max_open);
+  constexpr double kDefaultConnectTimeoutSeconds = 0.25;
+  constexpr double kDefaultIdleTimeoutSeconds = 5;
+  constexpr int kDefaultMaxOpenRequests = 20000;
+  config.connect_timeout = read_timeout(bounds, "dialTimeout", kDefaultConnectTimeoutSeconds);
+  config.server_idle_timeout = read_timeout(bounds, "idleClose", kDefaultIdleTimeoutSeconds);
+  const int max_open_requests = json::whole_or(bounds, "maxOpen", kDefaultMaxOpenRequests);
+  if (max_open_requests < 1) json::wrong("maxOpen", "at least 1");
+  config.max_open_requests = static_cast<std::size_t>(max_open_requests);
 }
 
-void read_known(const json::Value& document, const Clock& clock, Config& config) {
-  const json::Value* known = json::find(document, "known");
-  if (known != nullptr) config.known = read_endpoint_list(*known, config.directory, clock);
+void read_initial_endpoint_list(const json::Value& document, const Clock& clock, Config& config) {
+  const json::Value* list = json::find(document, "known");
+  if (list != nullptr) config.initial_endpoint_list = read_endpoint_list(*list, config.zone_directory, clock);
 }
 
-// The order of the sections decides which of several errors is reported.
+// Reports the first error only, so the order of the sections decides which one that is.
 Config read_document(const json::Value& document, const Clock& clock) {
   Config config;
-  gather_keys(document, "", config.keys);
+  collect_keys(document, "", config.present_keys);
   read_identity(document, config);
   read_limits(document, config);
   const json::Value& settings = json::need(document, "settings");
   read_decision_settings(settings, config);
   read_bounds(json::need(settings, "bounds"), config);
-  read_known(document, clock, config);
+  read_initial_endpoint_list(document, clock, config);
   return config;
 }
 
 rapidjson::Document parse_file(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw ConfigError(kFileVariable, "cannot read " + path);
+  if (!file) throw ConfigError(kConfigPathVariable, "cannot read " + path);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
   if (document.HasParseError()) {
-    throw ConfigError(kFileVariable, std::string("not valid JSON: ") +
-                                         rapidjson::GetParseError_En(document.GetParseError()) + " at byte " +
-                                         std::to_string(document.GetErrorOffset()));
+    throw ConfigError(kConfigPathVariable, std::string("is not valid JSON: ") +
+                                               rapidjson::GetParseError_En(document.GetParseError()) +
+                                               " at byte " + std::to_string(document.GetErrorOffset()));
   }
   return document;
 }
@@ -198,16 +198,17 @@
     throw ConfigError(error.field(), error.reason(), error.what());
   } catch (const EndpointListError& error) {
     throw ConfigError("known", error.what());
-  } catch (const std::invalid_argument& error) {  // a value that the decision library doesn't take
+  } catch (const std::invalid_argument& error) {  // a value that the decision library rejects
     throw ConfigError("settings", error.what(), error.what());
   }
 }
 
 Config read_next_config(const std::string& path, const Clock& clock, const Config& in_force) {
   Config next = read_config(path, clock);
-  for (const std::string& key : in_force.keys) {
-    if (!next.keys.contains(key) && !is_optional(key)) {
-      throw ConfigError(key, "is missing", std::string(kFileVariable) + ": field '" + key + "' is missing");
+  for (const std::string& key : in_force.present_keys) {
+    if (!next.present_keys.contains(key) && !is_optional(key)) {
+      throw ConfigError(key, "is missing",
+                        std::string(kConfigPathVariable) + ": field '" + key + "' is missing");
     }
   }
   return next;
--- a/node/config.h
+++ b/node/config.h
@@ -1,6 +1,7 @@
-/// What a node is configured with: the file that RELAY_CONFIG names.
+/// @file
+/// The configuration of a node: the file that RELAY_CONFIG names.
 ///
-/// Reads and checks the file; nothing here looks at the environment or puts a value in force.
+/// Reads and checks the file. It reads no environment variable and applies no value.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -18,13 +19,14 @@
 
 namespace nettleyoke::node {
 
-/// A configuration that can't be used.
+/// The configuration is missing, malformed or has an invalid value.
 class ConfigError : public std::runtime_error {
  public:
-  /// Its text is "field: reason".
-  /// @param field a key of the file, its section, or the environment variable that is at fault.
+  /// The message is "field: reason".
+  /// @param field the key of the file, the section of the file or the environment variable that is invalid
+  /// @param reason what is wrong with it
   ConfigError(std::string field, std::string reason);
-  /// @param message the text for people, where it isn't the usual one.
+  /// @param message the message, where it differs from "field: reason"
   ConfigError(std::string field, std::string reason, const std::string& message);
 
   const std::string& field() const { return field_; }
@@ -37,30 +39,31 @@
 
 struct Config {
   std::string name;
-  boost::asio::ip::tcp::endpoint listen;  ///< for clients
+  boost::asio::ip::tcp::endpoint listen;  ///< address for clients
   boost::asio::ip::tcp::endpoint discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> ops;  ///< where operators call, if they do
+  std::optional<boost::asio::ip::tcp::endpoint> admin_address;  ///< none: the node has no admin server
   std::uint64_t seed = 0;
-  std::size_t memory_limit_bytes = 0;  ///< that the process may take
-  std::size_t descriptor_limit = 0;    ///< that the process may hold
-  std::size_t max_open = 0;            ///< requests that the decision library may be given at once
+  std::size_t memory_limit_bytes = 0;  ///< of the process
+  std::size_t descriptor_limit = 0;    ///< of the process
+  std::size_t max_open_requests = 0;   ///< requests that the decision library may handle at once
   double connect_timeout = 0;          ///< seconds
   double server_idle_timeout = 0;      ///< seconds
   Settings settings;
-  std::vector<std::string> class_names;   ///< in the order of the settings
-  std::vector<std::string> tenant_names;  ///< in the order of the settings
-  ZoneDirectory directory;
-  EndpointList known;          ///< the endpoint list to start with, which may be old
-  std::set<std::string> keys;  ///< that the file has, which the next file has to have too
+  std::vector<std::string> class_names;   ///< in the order of `settings.classes`
+  std::vector<std::string> tenant_names;  ///< in the order of `settings.tenants`
+  ZoneDirectory zone_directory;
+  EndpointList initial_endpoint_list;  ///< used until discovery sends one; may be out of date
+  std::set<std::string> present_keys;  ///< keys of the file; a reload requires each that is not optional
 };
 
-/// @param clock turns the Unix times of known servers into the node's time.
+/// Reads and checks a configuration file.
+/// @param clock converts the Unix times in the initial endpoint list to the node's time
 /// @throws ConfigError
 [[nodiscard]] Config read_config(const std::string& path, const Clock& clock);
 
-/// The same for a file that is to follow the configuration in force.
-/// @throws ConfigError also where the file lacks a key that the last one had: a default would be a silent
-/// guess.
+/// Reads and checks a configuration file that is to replace the configuration in force.
+/// @throws ConfigError also if the file lacks a key that the configuration in force has, unless the key is
+///   optional: a default would silently replace the value in force.
 [[nodiscard]] Config read_next_config(const std::string& path, const Clock& clock, const Config& in_force);
 
 }  // namespace nettleyoke::node
--- a/node/descriptor_budget.cpp
+++ b/node/descriptor_budget.cpp
@@ -16,20 +16,19 @@
   return std::min<std::size_t>(configured_limit, system_limit.rlim_cur);
 }
 
-DescriptorBudget divide_descriptors(std::size_t limit, bool serves_operators, bool shares_listener) {
-  // The event loop's own, discovery, the log, the listener and a reserved descriptor.
+DescriptorBudget divide_descriptors(std::size_t limit, bool has_admin_server, bool shares_listener) {
+  // For the event loop, discovery, the log, the listener and one spare descriptor.
   constexpr std::size_t kProcessDescriptors = 24;
-  constexpr std::size_t kOperatorDescriptors = AdminServer::kMaxConnections + 1;
+  constexpr std::size_t kAdminDescriptors = AdminServer::kMaxConnections + 1;
   constexpr std::size_t kClientDivisor = 2;
-  constexpr std::size_t kOverflowDivisor = 8;
+  constexpr std::size_t kRejectedClientDivisor = 8;
   const std::size_t processes = shares_listener ? 2 : 1;
-  const std::size_t reserved =
-      (kProcessDescriptors + (serves_operators ? kOperatorDescriptors : 0)) * processes;
+  const std::size_t reserved = (kProcessDescriptors + (has_admin_server ? kAdminDescriptors : 0)) * processes;
   const std::size_t available = limit > 2 * reserved ? limit - reserved : reserved;
   DescriptorBudget budget;
   budget.clients = available / kClientDivisor;
-  budget.overflow = available / kOverflowDivisor;
-  budget.upstream = (available - budget.clients - budget.overflow) / processes;
+  budget.rejected_clients = available / kRejectedClientDivisor;
+  budget.upstream = (available - budget.clients - budget.rejected_clients) / processes;
   return budget;
 }
 
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -90,7 +90,7 @@
 void DiscoveryClient::open_after_pause() {
   is_pausing_ = true;
   const double jitter = std::uniform_real_distribution<>()(jitter_);
-  move_retry_.expires_after(Clock::span(kMoveRetrySeconds * (0.5 + jitter)));
+  move_retry_.expires_after(Clock::to_duration(kMoveRetrySeconds * (0.5 + jitter)));
   move_retry_.async_wait([this](error_code cancelled) {
     if (cancelled || Clock::Steady::now() < move_retry_.expiry()) return;
     is_pausing_ = false;
--- a/node/dispatch/dispatcher.cpp
+++ b/node/dispatch/dispatcher.cpp
@@ -19,13 +19,13 @@
 }  // namespace
 
 Dispatcher::Dispatcher(asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
-                       std::size_t max_open, UpstreamClient& upstream, std::function<void()> watch)
+                       std::size_t max_open_requests, UpstreamClient& upstream, std::function<void()> watch)
     : io_(io),
       clock_(clock),
       decisions_(clock, settings, seed, *this),
       must_watch_(settings.must_watch),
       rewatch_pauses_(seed),
-      max_open_(max_open),
+      max_open_requests_(max_open_requests),
       overflow_retry_after_(settings.max_retry_after * kOverflowRetryFraction),
       upstream_(upstream),
       watch_(std::move(watch)),
@@ -38,9 +38,9 @@
   if (!must_watch_) watch_();
 }
 
-void Dispatcher::replace_settings(const Settings& settings, std::size_t max_open) {
+void Dispatcher::replace_settings(const Settings& settings, std::size_t max_open_requests) {
   const bool had_to_watch = std::exchange(must_watch_, settings.must_watch);
-  max_open_ = max_open;
+  max_open_requests_ = max_open_requests;
   overflow_retry_after_ = settings.max_retry_after * kOverflowRetryFraction;
   rewatch_pauses_.reset();
   decisions_.enqueue_event(SettingsReplaced{settings});
@@ -76,7 +76,7 @@
   decisions_.enqueue_event(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
   if (must_watch_) return;
   // Where lists are pushed the decision library asks for none: it is for the node to stay connected.
-  rewatch_timer_.expires_after(Clock::span(rewatch_pauses_.next()));
+  rewatch_timer_.expires_after(Clock::to_duration(rewatch_pauses_.next()));
   rewatch_timer_.async_wait([this](error_code cancelled) {
     if (!cancelled) watch_();
   });
@@ -98,10 +98,10 @@
 void Dispatcher::accept(Request event, std::shared_ptr<const OutgoingRequest> message,
                         AnswerCallback callback) {
   // Rejected before the decision library hears of it, as the settings have it.
-  if (in_flight_requests_.size() >= max_open_) {
+  if (in_flight_requests_.size() >= max_open_requests_) {
     return callback({FinalAnswer::Kind::kRejected, overflow_retry_after_, {}, nullptr});
   }
-  event.body_in_progress = message->rest != nullptr;
+  event.body_in_progress = message->remaining_body != nullptr;
   InFlightRequest accepted(std::move(message), std::move(callback), event.request_class, event.time_left,
                            clock_.now());
   const auto entry = in_flight_requests_.try_emplace(event.id, std::move(accepted)).first;
@@ -126,7 +126,7 @@
 
 void Dispatcher::set_end(const std::string& id, InFlightRequest& request, double end) {
   const double fallback_at = kMargin.fallback_at(end, request.time_left());
-  auto timer = std::make_unique<asio::steady_timer>(io_, clock_.at(fallback_at));
+  auto timer = std::make_unique<asio::steady_timer>(io_, clock_.to_time_point(fallback_at));
   timer->async_wait([this, id](error_code cancelled) {
     if (!cancelled) on_overdue(id);
   });
@@ -268,7 +268,7 @@
 }
 
 void Dispatcher::execute(const SetTimer& action) {
-  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.at(action.due_at));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.to_time_point(action.due_at));
   timer->async_wait([this, timer, token = action.token](error_code cancelled) {
     if (!cancelled) decisions_.enqueue_event(TimerFired{token});
   });
--- a/node/dispatch/dispatcher.h
+++ b/node/dispatch/dispatcher.h
@@ -31,11 +31,11 @@
 
 class Dispatcher : private ActionExecutor, private MembershipTracker::Observer {
  public:
-  /// @param max_open requests that may be in flight; others are rejected
+  /// @param max_open_requests requests that may be in flight; others are rejected
   /// @param watch polls discovery, or watches it anew
   /// @throws std::invalid_argument when the settings cannot be used.
   Dispatcher(boost::asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
-             std::size_t max_open, UpstreamClient& upstream, std::function<void()> watch);
+             std::size_t max_open_requests, UpstreamClient& upstream, std::function<void()> watch);
 
   /// Takes the endpoint list that is known from before, if any, and starts.
   void start(const EndpointList& known);
@@ -46,7 +46,7 @@
   std::size_t listed_servers() const { return membership_.listed_servers(); }
   std::size_t unavailable_servers() const { return decisions_.unavailable_servers(); }
   /// @param settings that can be used: the decision library holds them valid
-  void replace_settings(const Settings& settings, std::size_t max_open);
+  void replace_settings(const Settings& settings, std::size_t max_open_requests);
   /// The servers that operators have disabled, listed or not.
   void set_disabled_servers(const std::set<std::string>& servers);
 
@@ -101,8 +101,8 @@
   DecisionLoop decisions_;
   bool must_watch_;  // the decision library asks for each poll; else lists are pushed
   RewatchPauses rewatch_pauses_;
-  std::size_t max_open_;
-  double overflow_retry_after_;  // s; what a request beyond `max_open_` is advised
+  std::size_t max_open_requests_;
+  double overflow_retry_after_;  // s; what a request beyond `max_open_requests_` is advised
   UpstreamClient& upstream_;
   std::function<void()> watch_;
   std::unordered_map<std::string, InFlightRequest> in_flight_requests_;
--- a/node/dispatch/in_flight_request.h
+++ b/node/dispatch/in_flight_request.h
@@ -42,7 +42,7 @@
   /// Whether nothing of the request is left to happen.
   bool is_settled() const { return is_completed() && !has_open_attempts(); }
   /// Whether a part of the body is gone, so that the request can't be sent again.
-  bool is_body_consumed() const { return !message_->is_complete(); }
+  bool is_body_consumed() const { return !message_->is_sendable(); }
 
   /// The last byte has arrived, or the time is bounded anew.
   /// @param end when the client gives up
--- a/node/downstream/client_connection.cpp
+++ b/node/downstream/client_connection.cpp
@@ -297,7 +297,7 @@
 bool ClientConnection::accept_body(std::size_t size) {
   reader_.store_body(std::span<const char>(context_->body_chunk).first(size));
   if (reader_.is_head_complete() && !reader_.is_complete()) {
-    set_deadline(Clock::span(reader_.time_for_next_body_bytes().count()));
+    set_deadline(Clock::to_duration(reader_.time_for_next_body_bytes().count()));
   }
   if (reader_.is_uploading()) {
     if (!reader_.has_writable_upload()) wait_for_upload();
--- a/node/downstream/client_connection_requests.cpp
+++ b/node/downstream/client_connection_requests.cpp
@@ -74,7 +74,7 @@
   request_id_ = event.id;
   rewrite_for_server(request, reader_.upload().get());
   forwarded->outgoing.request = std::move(request);
-  forwarded->outgoing.rest = reader_.upload();
+  forwarded->outgoing.remaining_body = reader_.upload();
   forwarded->outgoing.is_abandoned = [weak = weak_from_this()] {
     const auto self = weak.lock();
     return !self || self->is_abandoned();
--- a/node/downstream/graceful_shutdown.cpp
+++ b/node/downstream/graceful_shutdown.cpp
@@ -38,7 +38,7 @@
 
 template <typename Step>
 void GracefulShutdown::run_after(Seconds delay, Step step) {
-  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(delay.count()));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::to_duration(delay.count()));
   timer->async_wait([timer, step](boost::system::error_code) { step(); });
 }
 
@@ -50,7 +50,7 @@
   done_ = std::move(done);
   const Seconds longest_wait = longest_client_wait(catalog);
   dispatcher_.bound_answers((kMaxClientWait + kLastAnswerMargin).count());
-  last_answer_due_ = Clock::Steady::now() + Clock::span((longest_wait + kLastAnswerMargin).count());
+  last_answer_due_ = Clock::Steady::now() + Clock::to_duration((longest_wait + kLastAnswerMargin).count());
   if (admission_.is_listener_inherited()) {
     admission_.leave_inherited_listener();
     finish_if_drained();
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -123,7 +123,7 @@
 std::size_t RequestReader::body_buffer_limit() const {
   const bool is_slow =
       static_cast<double>(received_body_bytes_) < kFastBodyBytesPerSecond * seconds_since_head();
-  return budget_.is_under(is_slow ? kSlowBodyMemoryFraction : kFastBodyMemoryFraction)
+  return budget_.is_below_fraction(is_slow ? kSlowBodyMemoryFraction : kFastBodyMemoryFraction)
              ? kMaxBufferedBodyBytes
              : kMaxUnstreamedBodyBytes;
 }
--- a/node/event_loop.cpp
+++ b/node/event_loop.cpp
@@ -15,7 +15,9 @@
       io_.run();
       return;
     } catch (const std::exception& error) {
-      if (!std::exchange(has_logged, true)) std::clog << "a handler failed: " << error.what() << '\n';
+      if (!std::exchange(has_logged, true)) {
+        std::clog << "exception in an event handler (further ones are not logged): " << error.what() << '\n';
+      }
     }
   }
 }
--- a/node/event_loop.h
+++ b/node/event_loop.h
@@ -1,4 +1,5 @@
-/// What a node runs on: its event loop, the signals it answers to, its clock and its memory budget.
+/// @file
+/// The event loop of a node, with the signals that it handles, its clock and its memory budget.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,8 +10,8 @@
 
 namespace nettleyoke::node {
 
-/// Has to be made before anything else: a signal that came before it would end the process by the system's
-/// default. One that comes between here and the first wait for it is kept for that wait.
+/// Construct it before anything else: a signal that arrives earlier ends the process, which is the system's
+/// default. A signal that arrives after construction and before the first wait for it is kept for that wait.
 class EventLoop {
  public:
   EventLoop();
@@ -19,8 +20,8 @@
 
   /// Runs handlers until the loop is stopped or has nothing more to do.
   ///
-  /// An exception that gets past a handler costs what that handler was about, not the node: each request has
-  /// a timer of its own that answers it in time. The first one is logged.
+  /// An exception that escapes a handler ends the work of that handler only, not the node: each request has
+  /// its own timer, which gives it a final answer in time. Only the first exception is logged.
   void run();
   void stop() { io_.stop(); }
 
@@ -33,7 +34,7 @@
   boost::asio::signal_set& stop_signals() { return stop_signals_; }
 
  private:
-  MemoryBudget memory_budget_;  // outlives what is left in the event loop at the end
+  MemoryBudget memory_budget_;  // outlives the handlers that are left in `io_`, which hold reservations
   boost::asio::io_context io_;
   boost::asio::signal_set reload_signals_;
   boost::asio::signal_set stop_signals_;
--- a/node/http/body_pipe.h
+++ b/node/http/body_pipe.h
@@ -1,6 +1,6 @@
 /// @file
-/// A message body on its way from one connection to another, a chunk at a time. Owns the bytes in between and
-/// reserves memory for them; never touches a socket.
+/// Passes a message body from one connection to another, a chunk at a time. Owns the bytes that are written
+/// and not yet read, and reserves memory for them; never uses a socket.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,28 +15,28 @@
 
 namespace nettleyoke::node {
 
-/// One writer, one reader, both in the same event loop. The writer waits while the pipe is full, the reader
-/// while it is empty; each may leave before the end. Callbacks are posted to the event loop and never run
-/// from within a call: the other side may be in the midst of one of its own.
+/// Has one writer and one reader in the same event loop. The writer waits while the pipe is full, the reader
+/// while it is empty. Either may stop before the end of the body. Callbacks are posted to the event loop and
+/// never run inside a call to the pipe, because the other side may be in the middle of an operation.
 class BodyPipe {
  public:
   using Callback = std::function<void()>;
-  /// Bytes in the pipe from which on the writer has to wait. One write may exceed it.
+  /// Once the pipe holds this many bytes, the writer has to wait. A single write may exceed it.
   static constexpr std::size_t kCapacity = std::size_t{32} * 1024;
 
-  /// @param length  bytes of the complete body, where known.
+  /// @param length  bytes of the complete body, if known
   BodyPipe(boost::asio::io_context& io, MemoryBudget& budget, std::optional<std::uint64_t> length)
       : length_(length), io_(io), reservation_(budget) {}
   BodyPipe(const BodyPipe&) = delete;
   BodyPipe& operator=(const BodyPipe&) = delete;
 
-  /// Bytes of the complete body, where known.
+  /// Bytes of the complete body, if known.
   std::optional<std::uint64_t> length() const { return length_; }
 
   /// @name For the writer
   /// @{
 
-  /// Adds bytes, also beyond the capacity; dropped once the pipe has ended.
+  /// Adds bytes, even beyond the capacity. Drops them if either side has ended the pipe.
   void write(const char* bytes, std::size_t size) {
     if (has_ended()) return;
     buffer_.append(bytes, size);
@@ -45,25 +45,25 @@
   }
   /// Whether the pipe is below its capacity.
   bool is_writable() const { return buffer_.size() < kCapacity; }
-  /// Whether the reader wants no more.
+  /// Whether the reader has called close_reader() before the writer ended the body.
   bool is_reader_closed() const { return end_ == End::kReaderClosed; }
-  /// Calls once when the pipe is writable or its reader has left.
+  /// Calls `callback` once, when the pipe is writable or its reader is closed.
   void when_writable(Callback callback) {
     on_writable_ = std::move(callback);
     if (is_writable() || is_reader_closed()) post(on_writable_);
   }
-  /// Calls once when the reader leaves, whatever else the writer waits for.
+  /// Calls `callback` once, when the reader is closed; independent of when_writable().
   void when_reader_closed(Callback callback) { on_reader_closed_ = std::move(callback); }
-  /// The body is complete.
+  /// Marks the body as complete.
   void finish() { end_by_writer(End::kFinished); }
-  /// Nothing more comes, though the body is not complete.
+  /// Ends the body before it is complete.
   void abort() { end_by_writer(End::kAborted); }
 
   /// @}
   /// @name For the reader
   /// @{
 
-  /// What has been written since the last call; empty where there is nothing now.
+  /// Removes and returns all bytes in the pipe; empty if there are none at present.
   std::string take() {
     has_been_read_ |= !buffer_.empty();
     std::string taken = std::exchange(buffer_, {});
@@ -71,18 +71,18 @@
     post(on_writable_);
     return taken;
   }
-  /// Whether a part of the body has been consumed.
+  /// Whether the reader has taken a part of the body.
   bool has_been_read() const { return has_been_read_; }
-  /// Whether the body was finished and all of it is taken.
+  /// Whether the writer has finished the body and the reader has taken all of it.
   bool is_complete() const { return end_ == End::kFinished && buffer_.empty(); }
-  /// Whether the writer gave up before the end.
+  /// Whether the writer ended the body before it was complete.
   bool is_aborted() const { return end_ == End::kAborted; }
-  /// Calls once when there are bytes, or the writer has ended.
+  /// Calls `callback` once, when the pipe holds bytes or the writer has finished or aborted the body.
   void when_readable(Callback callback) {
     on_readable_ = std::move(callback);
     if (!buffer_.empty() || end_ == End::kFinished || end_ == End::kAborted) post(on_readable_);
   }
-  /// The reader wants no more: what is left is dropped and the writer notified.
+  /// Ends the pipe from the reader's side: drops the remaining bytes and notifies the writer.
   void close_reader() {
     on_readable_ = nullptr;
     if (has_ended()) return;
--- a/node/http/memory_budget.h
+++ b/node/http/memory_budget.h
@@ -1,6 +1,6 @@
 /// @file
-/// Bounds the bytes of messages that a node holds over all its connections. Counts what its users report; it
-/// allocates nothing itself.
+/// Bounds the memory that a node uses for messages over all its connections. Only counts the bytes that its
+/// users report; allocates nothing.
 #pragma once
 
 #include <algorithm>
@@ -8,23 +8,23 @@
 
 namespace nettleyoke::node {
 
-/// The bytes that all connections together may hold. Outlives its reservations.
+/// The number of bytes that all connections together may hold. Has to outlive its reservations.
 class MemoryBudget {
  public:
   MemoryBudget() = default;
   MemoryBudget(const MemoryBudget&) = delete;
   MemoryBudget& operator=(const MemoryBudget&) = delete;
 
-  /// @param bytes  may be below what is in use; what is reserved stays reserved.
+  /// @param bytes  may be less than used(); existing reservations keep their size
   void set_limit(std::size_t bytes) { limit_bytes_ = bytes; }
   /// Bytes in use; may exceed the limit (see Reservation::resize).
   std::size_t used() const { return used_bytes_; }
-  /// Whether less than a fraction of the limit is in use.
-  bool is_under(double fraction) const {
+  /// Whether used() is below `fraction` of the limit.
+  bool is_below_fraction(double fraction) const {
     return static_cast<double>(used_bytes_) < fraction * static_cast<double>(limit_bytes_);
   }
 
-  /// What one holder has of the budget; gives it back when it ends.
+  /// The share of the budget that one holder uses. Its destructor returns the bytes to the budget.
   class Reservation {
    public:
     explicit Reservation(MemoryBudget& budget) : budget_(budget) {}
@@ -32,15 +32,15 @@
     Reservation(const Reservation&) = delete;
     Reservation& operator=(const Reservation&) = delete;
 
-    /// Holds `bytes` in place of what it held. To shrink always succeeds.
-    /// @return false, with nothing changed, if that exceeds the budget.
+    /// Changes the size of the reservation to `bytes`. Shrinking always succeeds.
+    /// @return false, with the size unchanged, if the budget does not have the additional bytes
     [[nodiscard]] bool try_resize(std::size_t bytes) {
       if (bytes > bytes_ && bytes - bytes_ > budget_.available_bytes()) return false;
       resize(bytes);
       return true;
     }
-    /// The same without a limit, for bytes that are in memory already, such as an answer on its way from a
-    /// server to a client.
+    /// Changes the size without checking the limit, for bytes that are already in memory, such as a response
+    /// that is being passed from a server to a client.
     void resize(std::size_t bytes) {
       budget_.used_bytes_ = budget_.used_bytes_ - bytes_ + bytes;
       bytes_ = bytes;
--- a/node/http/message.h
+++ b/node/http/message.h
@@ -1,5 +1,5 @@
 /// @file
-/// The HTTP messages of a node and the bounds that its client side and its server side both keep.
+/// The HTTP message types of a node, and the size limits that apply to both its clients and its servers.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -14,31 +14,31 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
-/// Request line and fields, without a body.
+/// Request line and header fields, without a body.
 using RequestHead = boost::beast::http::request_header<>;
 
-/// Bytes of the head of a request or a response.
+/// Maximum bytes of the head of a request or a response.
 constexpr std::uint32_t kHeaderLimit = 16 * 1024;
-/// Bytes of a body that is always passed on complete; a larger one may be streamed.
+/// Up to this many bytes, a body is buffered completely before it is forwarded; a larger one may be streamed.
 constexpr std::uint64_t kMaxUnstreamedBodyBytes = std::uint64_t{64} * 1024;
-/// Bytes of the body of a request or a response.
+/// Maximum bytes of the body of a request or a response.
 constexpr std::uint64_t kBodyLimit = std::uint64_t{64} * 1024 * 1024;
 
-/// A request on its way to a server.
+/// A request that is to be sent to a server.
 struct OutgoingRequest {
   HttpRequest request;
-  /// Where the body comes from that `request` does not hold: it is larger than is buffered and is still
-  /// arriving. Null where `request` is complete.
-  std::shared_ptr<BodyPipe> rest;
-  /// Whether the client has closed its side, as far as this machine knows, though the event loop may not have
-  /// come to it yet. Called just before an attempt begins.
+  /// Delivers the part of the body that `request` does not hold, if the body is too large to be buffered and
+  /// still arriving. Null if `request` holds the complete body.
+  std::shared_ptr<BodyPipe> remaining_body;
+  /// Whether the operating system has received the client's close of the connection; the event loop may not
+  /// have handled it yet. Called just before an attempt begins.
   std::function<bool()> is_abandoned = {};
 
-  /// Whether it can be sent, or sent again: no part of its body has been consumed.
-  bool is_complete() const { return !rest || !rest->has_been_read(); }
+  /// Whether the request can be sent, or sent again: no part of `remaining_body` has been consumed.
+  bool is_sendable() const { return !remaining_body || !remaining_body->has_been_read(); }
 };
 
-/// Erases the fields that belong to one connection and not to the message.
+/// Erases the header fields that apply to one connection only and must not be forwarded.
 template <typename Fields>
 void remove_hop_by_hop_fields(Fields& fields) {
   namespace http = boost::beast::http;
--- a/node/listen_retry.cpp
+++ b/node/listen_retry.cpp
@@ -6,7 +6,8 @@
 namespace nettleyoke::node {
 namespace {
 
-// From the node's start; so long the process before this one, which serves to its end, may hold an address.
+// Counted from the node's start. The previous process may hold the address this long while it shuts down
+// gracefully.
 constexpr double kMaxAddressWaitSeconds = 8;
 constexpr std::chrono::milliseconds kRetryInterval{20};
 
@@ -15,10 +16,10 @@
 void ListenRetry::start(Listen listen, Done done) {
   listen_ = std::move(listen);
   done_ = std::move(done);
-  attempt();
+  try_listen();
 }
 
-void ListenRetry::attempt() {
+void ListenRetry::try_listen() {
   boost::system::error_code error;
   try {
     listen_();
@@ -30,7 +31,7 @@
   }
   timer_.expires_after(kRetryInterval);
   timer_.async_wait([this](boost::system::error_code cancelled) {
-    if (!cancelled) attempt();
+    if (!cancelled) try_listen();
   });
 }
 
--- a/node/listen_retry.h
+++ b/node/listen_retry.h
@@ -1,7 +1,8 @@
-/// Opens a listening socket, again and again while its address is in use.
+/// @file
+/// Opens a listening socket, and retries while its address is in use.
 ///
-/// A node that is stopped and started again at once finds its own address taken by the process that serves
-/// to its end, and ending for that would count as a crash.
+/// When a node is stopped and restarted at once, the old process still holds the address while it shuts down
+/// gracefully. If the new process ended because of that, it would count as a crash.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,19 +15,20 @@
 
 class ListenRetry {
  public:
-  /// Throws boost::system::system_error where the address can't be listened on.
+  /// Opens the socket; throws boost::system::system_error if that fails.
   using Listen = std::function<void()>;
   using Done = std::function<void(boost::system::error_code error)>;
 
   ListenRetry(boost::asio::io_context& io, const Clock& clock) : clock_(clock), timer_(io) {}
 
-  /// Calls `listen` until it succeeds, fails otherwise than for an address in use, or the time is over; then
-  /// `done` with the last error, which may be from within this call. Without either after cancel().
+  /// Calls `listen` until it succeeds, fails with an error other than "address in use", or the time limit has
+  /// passed. Then calls `done` with the last error, if any, possibly before this call returns. After cancel()
+  /// neither is called again.
   void start(Listen listen, Done done);
   void cancel() { timer_.cancel(); }
 
  private:
-  void attempt();
+  void try_listen();
 
   const Clock& clock_;
   boost::asio::steady_timer timer_;
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -1,4 +1,5 @@
-// nettleyoke: a load-balancer node. Environment and exit codes; the work is elsewhere.
+// The program nettleyoke, a load-balancer node: reads the environment, runs the node, maps errors to exit
+// codes.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -18,7 +19,7 @@
 namespace node = nettleyoke::node;
 
 constexpr int kExitStopped = EXIT_SUCCESS;
-constexpr int kExitFault = EXIT_FAILURE;
+constexpr int kExitError = EXIT_FAILURE;
 constexpr int kExitBadConfiguration = 2;
 
 bool is_set(const char* variable) { return variable != nullptr && *variable != '\0'; }
@@ -28,14 +29,15 @@
   return kExitBadConfiguration;
 }
 
-// The environment is this process's own and comes first; the file may be one that two processes share.
+// RELAY_OPS takes precedence over the file: two processes may share the file, but each has its own
+// environment.
 node::Startup read_startup(const char* config_path, const node::Clock& clock) {
   node::Startup startup;
   startup.config_path = config_path;
   startup.config = node::read_config(config_path, clock);
-  if (const char* operators = std::getenv("RELAY_OPS"); is_set(operators)) {
-    startup.config.ops = node::parse_endpoint(operators);
-    if (!startup.config.ops) throw node::ConfigError("RELAY_OPS", "not an address with a port");
+  if (const char* address = std::getenv("RELAY_OPS"); is_set(address)) {
+    startup.config.admin_address = node::parse_endpoint(address);
+    if (!startup.config.admin_address) throw node::ConfigError("RELAY_OPS", "is not an address with a port");
   }
   startup.inherited_listener = node::inherited_listener(std::getenv("RELAY_LISTEN_FD"));
   if (const char* directory = std::getenv("TMPDIR"); is_set(directory)) startup.state_directory = directory;
@@ -43,7 +45,7 @@
 }
 
 int run(const char* config_path) {
-  node::EventLoop loop;  // first, for the signals
+  node::EventLoop loop;  // before anything else, so that no signal is missed
   node::Startup startup;
   try {
     startup = read_startup(config_path, loop.clock());
@@ -72,7 +74,7 @@
   } catch (const std::exception& error) {
     std::fprintf(stderr, "nettleyoke: %s\n", error.what());
   } catch (...) {
-    std::fputs("nettleyoke: an unknown fault\n", stderr);
+    std::fputs("nettleyoke: exception of unknown type\n", stderr);
   }
-  return kExitFault;
+  return kExitError;
 }
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -9,23 +9,23 @@
 
 using boost::system::error_code;
 
-// Messages may fill this part of the memory: the rest is for the program, what a connection takes by itself
-// and what the allocator does not give back.
+// The memory limit divided by this is for messages. The rest is for the program itself, for the fixed memory
+// of each connection, and for memory that the allocator does not return to the system.
 constexpr std::size_t kMessageMemoryDivisor = 3;
 
-// From the node's start; until then a node that has heard nothing from discovery is not ready, though it
-// knows a list from before: that may be old, and where one process takes over from another the old one still
+// Counted from the node's start. Until then, a node that has no list from discovery is not ready even if it
+// has an initial endpoint list: that list may be out of date, and in a process takeover the old process still
 // serves.
 constexpr double kMaxListWaitSeconds = 3;
 
-std::size_t message_memory(const Startup& startup) {
+std::size_t message_memory_bytes(const Startup& startup) {
   const std::size_t processes = startup.inherited_listener ? 2 : 1;
   return startup.config.memory_limit_bytes / kMessageMemoryDivisor / processes;
 }
 
-DescriptorBudget descriptors_of(const Startup& startup) {
+DescriptorBudget descriptor_budget(const Startup& startup) {
   return divide_descriptors(effective_descriptor_limit(startup.config.descriptor_limit),
-                            startup.config.ops.has_value(), startup.inherited_listener.has_value());
+                            startup.config.admin_address.has_value(), startup.inherited_listener.has_value());
 }
 
 }  // namespace
@@ -34,15 +34,15 @@
     : loop_(loop),
       startup_(std::move(startup)),
       config_(startup_.config),
-      descriptors_(descriptors_of(startup_)),
+      descriptors_(descriptor_budget(startup_)),
       upstream_(loop.io(), {config_.connect_timeout, config_.server_idle_timeout, descriptors_.upstream},
                 loop.memory_budget(), metrics_),
-      discovery_(loop.io(), config_.discovery, config_.directory, loop.clock(), config_.seed,
+      discovery_(loop.io(), config_.discovery, config_.zone_directory, loop.clock(), config_.seed,
                  discovery_listener()),
-      dispatcher_(loop.io(), loop.clock(), config_.settings, config_.seed, config_.max_open, upstream_,
-                  [this] { discovery_.watch(); }),
+      dispatcher_(loop.io(), loop.clock(), config_.settings, config_.seed, config_.max_open_requests,
+                  upstream_, [this] { discovery_.watch(); }),
       downstream_(loop.io(),
-                  {descriptors_.clients, descriptors_.overflow, config_.settings.max_retry_after / 2},
+                  {descriptors_.clients, descriptors_.rejected_clients, config_.settings.max_retry_after / 2},
                   {config_.class_names, config_.tenant_names, config_.settings.classes,
                    config_.settings.classes.size()},
                   loop.memory_budget(), dispatcher_, metrics_),
@@ -50,13 +50,13 @@
           loop.io(), startup_.state_directory,
           [this](const std::set<std::string>& servers) { dispatcher_.set_disabled_servers(servers); }),
       admin_server_(loop.io(), admin_handlers()),
-      reloader_(startup_.config_path, config_, reloaded_parts()),
-      operators_listen_(loop.io(), loop.clock()),
-      clients_listen_(loop.io(), loop.clock()) {
-  loop_.memory_budget().set_limit(message_memory(startup_));
+      reloader_(startup_.config_path, config_, reloadable_parts()),
+      admin_listen_retry_(loop.io(), loop.clock()),
+      client_listen_retry_(loop.io(), loop.clock()) {
+  loop_.memory_budget().set_limit(message_memory_bytes(startup_));
   metrics_.add_classes(config_.class_names);
   discovery_.set_responds_immediately(!config_.settings.must_watch);
-  discovery_.set_list_version(config_.known.version);
+  discovery_.set_list_version(config_.initial_endpoint_list.version);
 }
 
 // ---------------------------------------------------------------- wiring
@@ -71,10 +71,10 @@
           [this] {
             return metrics_.to_json({dispatcher_.listed_servers(), dispatcher_.unavailable_servers()});
           },
-          [this](const std::string& id, bool enable) { return set_server(id, enable); }};
+          [this](const std::string& id, bool enable) { return set_server_enabled(id, enable); }};
 }
 
-ConfigReloader::Parts Node::reloaded_parts() {
+ConfigReloader::Parts Node::reloadable_parts() {
   return {loop_.clock(), metrics_, upstream_, discovery_, dispatcher_, downstream_};
 }
 
@@ -82,37 +82,38 @@
 
 Node::Result Node::run() {
   start();
-  if (config_.ops) listen_for_operators();
-  listen_for_clients();
-  await_stop();
+  if (config_.admin_address) start_admin_server();
+  start_client_listener();
+  await_stop_signal();
   loop_.run();
   return result_;
 }
 
 void Node::start() {
-  // Before the first request, which could otherwise go to a server that is disabled.
+  // Before the first request, which could otherwise be sent to a disabled server.
   disabled_servers_.load();
   if (startup_.inherited_listener) disabled_servers_.watch_file();
-  dispatcher_.start(config_.known);
+  dispatcher_.start(config_.initial_endpoint_list);
 }
 
-void Node::listen_for_operators() {
-  // By value: a reload before the address is free may bring a configuration without one.
-  operators_listen_.start([this, address = *config_.ops] { admin_server_.listen(address); },
-                          [this](error_code error) { on_operators_listening(error); });
+void Node::start_admin_server() {
+  // Copies the address: a reload during the retries may remove it from the configuration.
+  admin_listen_retry_.start([this, address = *config_.admin_address] { admin_server_.listen(address); },
+                            [this](error_code error) { on_admin_listening(error); });
 }
 
-void Node::on_operators_listening(error_code error) {
-  // By now clients are served. They must not pay for whoever holds the address so long.
+void Node::on_admin_listening(error_code error) {
+  // The node already serves clients and must not stop because another process holds the admin address.
   if (error == boost::asio::error::address_in_use) {
-    std::clog << "operators: " << error.message() << "; served without them\n";
+    std::clog << "cannot listen on the admin address: " << error.message()
+              << "; the node runs without an admin server\n";
     return;
   }
-  if (error) return abort_start("operators", error);
+  if (error) return abort_start("cannot listen on the admin address", error);
   std::clog << "nettleyoke " << config_.name << ": operators at " << admin_server_.local() << '\n';
 }
 
-void Node::listen_for_clients() {
+void Node::start_client_listener() {
   const auto listen = [this] {
     if (startup_.inherited_listener) {
       downstream_.serve_on_inherited_listener(*startup_.inherited_listener);
@@ -120,49 +121,49 @@
       downstream_.listen(config_.listen);
     }
   };
-  clients_listen_.start(listen, [this](error_code error) { on_clients_listening(error); });
+  client_listen_retry_.start(listen, [this](error_code error) { on_client_listening(error); });
 }
 
-void Node::on_clients_listening(error_code error) {
-  if (error) return abort_start("listen", error);
+void Node::on_client_listening(error_code error) {
+  if (error) return abort_start("cannot listen for clients", error);
   downstream_.start();
   std::clog << "nettleyoke " << config_.name << ": listening on " << downstream_.local() << '\n';
-  await_reload();
+  await_reload_signal();
 }
 
-void Node::abort_start(const char* step, error_code error) {
-  std::cerr << "nettleyoke: " << step << ": " << error.message() << '\n';
+void Node::abort_start(const char* failure, error_code error) {
+  std::cerr << "nettleyoke: " << failure << ": " << error.message() << '\n';
   result_ = Result::kStartFailed;
   loop_.stop();
 }
 
-void Node::await_reload() {
+void Node::await_reload_signal() {
   loop_.reload_signals().async_wait([this](error_code cancelled, int) {
     if (cancelled) return;
     reloader_.reload();
-    await_reload();
+    await_reload_signal();
   });
 }
 
-void Node::await_stop() {
+void Node::await_stop_signal() {
   loop_.stop_signals().async_wait([this](error_code cancelled, int) {
-    if (!cancelled) drain();
+    if (!cancelled) shut_down_gracefully();
   });
 }
 
-void Node::drain() {
-  clients_listen_.cancel();
+void Node::shut_down_gracefully() {
+  client_listen_retry_.cancel();
   downstream_.drain([this] { loop_.stop(); });
 }
 
-// ---------------------------------------------------------------- operators' calls
+// ---------------------------------------------------------------- admin calls
 
 bool Node::is_ready() const {
   if (!dispatcher_.can_serve() || downstream_.draining()) return false;
   return dispatcher_.has_list() || loop_.clock().now() >= kMaxListWaitSeconds;
 }
 
-std::string Node::set_server(const std::string& id, bool enable) {
+std::string Node::set_server_enabled(const std::string& id, bool enable) {
   if (!dispatcher_.is_listed(id) && !disabled_servers_.servers().contains(id)) return "unknown server";
   disabled_servers_.set_disabled(id, !enable);
   return "";
--- a/node/node.h
+++ b/node/node.h
@@ -1,6 +1,7 @@
-/// A load-balancer node: its parts, how they are wired, and the phases of its life.
+/// @file
+/// A load-balancer node: connects its parts, starts them and shuts them down.
 ///
-/// Owns all parts and the configuration in force. It takes no part in serving a request.
+/// Owns all parts and the configuration in force. It is not involved in serving a request.
 #pragma once
 
 #include <cstddef>
@@ -22,50 +23,50 @@
 
 namespace nettleyoke::node {
 
-/// What a node is started with.
+/// The inputs of a node at its start.
 struct Startup {
-  std::string config_path;  ///< read again at a reload
+  std::string config_path;  ///< file that a reload reads again
   Config config;
-  std::optional<int> inherited_listener;  ///< the clients' listening socket, in a takeover
-  std::string state_directory;            ///< for what processes share; empty for none
+  std::optional<int> inherited_listener;  ///< client listener that is shared during a process takeover
+  std::string state_directory;            ///< for state that the processes share; empty: none
 };
 
 class Node {
  public:
   enum class Result {
-    kStopped,      ///< by a signal, with all requests answered
-    kStartFailed,  ///< an address can't be listened on; the reason is on standard error
+    kStopped,      ///< stopped by a signal, after all requests got a final answer
+    kStartFailed,  ///< listening on an address failed; the reason is on standard error
   };
 
-  /// @throws std::invalid_argument for settings that the decision library doesn't take.
+  /// @throws std::invalid_argument for settings that the decision library rejects.
   Node(EventLoop& loop, Startup startup);
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  /// Starts, serves and drains; returns when the node has ended.
+  /// Starts, serves and shuts down gracefully; returns when the node has stopped.
   [[nodiscard]] Result run();
 
  private:
   DiscoveryClient::Listener discovery_listener();
   AdminServer::Handlers admin_handlers();
-  ConfigReloader::Parts reloaded_parts();
+  ConfigReloader::Parts reloadable_parts();
 
   void start();
-  void listen_for_operators();
-  void on_operators_listening(boost::system::error_code error);
-  void listen_for_clients();
-  void on_clients_listening(boost::system::error_code error);
-  void abort_start(const char* step, boost::system::error_code error);
-  void await_reload();
-  void await_stop();
-  void drain();
+  void start_admin_server();
+  void on_admin_listening(boost::system::error_code error);
+  void start_client_listener();
+  void on_client_listening(boost::system::error_code error);
+  void abort_start(const char* failure, boost::system::error_code error);
+  void await_reload_signal();
+  void await_stop_signal();
+  void shut_down_gracefully();
 
   bool is_ready() const;
-  std::string set_server(const std::string& id, bool enable);
+  std::string set_server_enabled(const std::string& id, bool enable);
 
   EventLoop& loop_;
   Startup startup_;
-  Config& config_;  // in force
+  Config& config_;  // the configuration in force, which is `startup_.config`
   DescriptorBudget descriptors_;
   Metrics metrics_;
   UpstreamClient upstream_;
@@ -75,8 +76,8 @@
   DisabledServers disabled_servers_;
   AdminServer admin_server_;
   ConfigReloader reloader_;
-  ListenRetry operators_listen_;
-  ListenRetry clients_listen_;
+  ListenRetry admin_listen_retry_;
+  ListenRetry client_listen_retry_;
   Result result_ = Result::kStopped;
 };
 
--- a/node/reload.cpp
+++ b/node/reload.cpp
@@ -17,7 +17,7 @@
               << " classes\n";
   } catch (const std::exception& error) {
     parts_.metrics.reload_finished(false);
-    std::clog << "reload: " << error.what() << "; all stays as it was\n";
+    std::clog << "reload: " << error.what() << "; the configuration in force is kept\n";
   }
 }
 
@@ -33,11 +33,12 @@
   parts_.metrics.add_classes(config.class_names);
   parts_.upstream.set_timeouts(config.connect_timeout, config.server_idle_timeout);
   parts_.downstream.replace_catalog(std::move(prepared.catalog), config.settings.max_retry_after / 2);
-  // Before the decision library asks for a watch, or the old address would be called once more.
-  parts_.discovery.set_directory(config.directory);
+  // Before replace_settings(): it may make the decision library request a watch, which must go to the new
+  // address.
+  parts_.discovery.set_directory(config.zone_directory);
   parts_.discovery.set_responds_immediately(!config.settings.must_watch);
   parts_.discovery.move_to(config.discovery);
-  parts_.dispatcher.replace_settings(config.settings, config.max_open);
+  parts_.dispatcher.replace_settings(config.settings, config.max_open_requests);
   in_force_ = std::move(config);
 }
 
--- a/node/reload.h
+++ b/node/reload.h
@@ -1,6 +1,7 @@
+/// @file
 /// Puts a changed configuration file in force while the node serves.
 ///
-/// All is read and found to be in order before the first part switches; from there on nothing can fail.
+/// Reads and checks the whole file before it changes any part of the node. Applying the changes cannot fail.
 #pragma once
 
 #include <string>
@@ -17,7 +18,7 @@
 
 class ConfigReloader {
  public:
-  /// What a reload reaches.
+  /// The parts of the node that a reload changes, and the clock.
   struct Parts {
     const Clock& clock;
     Metrics& metrics;
@@ -27,12 +28,12 @@
     DownstreamServer& downstream;
   };
 
-  /// @param path of the file.
-  /// @param in_force the configuration in force, which a reload replaces.
+  /// @param path of the configuration file
+  /// @param in_force the configuration in force; a successful reload overwrites it
   ConfigReloader(std::string path, Config& in_force, const Parts& parts);
 
-  /// Reads the file again. A file that can't be used changes nothing; the log and the metrics say how it
-  /// went.
+  /// Reads the file again and applies it. An invalid file changes nothing. Reports success or failure in the
+  /// log and the metrics.
   void reload();
 
  private:
--- a/node/upstream/request_writer.cpp
+++ b/node/upstream/request_writer.cpp
@@ -31,7 +31,7 @@
 
 void RequestWriter::assign(std::shared_ptr<const OutgoingRequest> request) {
   request_ = std::move(request);
-  remaining_body_ = request_->rest;
+  remaining_body_ = request_->remaining_body;
   is_streamed_ = remaining_body_ != nullptr;
 }
 
--- a/node/upstream/server_connection.cpp
+++ b/node/upstream/server_connection.cpp
@@ -23,7 +23,7 @@
 
 void ServerConnection::connect(const tcp::endpoint& endpoint, double timeout) {
   endpoint_ = endpoint;
-  timer_.expires_after(Clock::span(timeout));
+  timer_.expires_after(Clock::to_duration(timeout));
   timer_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (!cancelled && !self->pool_->is_client_closed()) self->pool_->on_connected(self, false);
   });
@@ -54,7 +54,7 @@
       self->pool_->drop(self);
     }
   };
-  timer_.expires_after(Clock::span(idle_timeout * kIdleTimeoutFraction));
+  timer_.expires_after(Clock::to_duration(idle_timeout * kIdleTimeoutFraction));
   timer_.async_wait(end);
   socket_.async_wait(tcp::socket::wait_read, end);
 }
--- a/node/upstream/upstream_attempt.cpp
+++ b/node/upstream/upstream_attempt.cpp
@@ -46,9 +46,10 @@
   writer_.assign(request);
   if (is_abandoned()) return end_later(Outcome::kCancelled);
   const Clock::Steady::time_point now = Clock::Steady::now();
-  const Clock::Steady::time_point deadline = now + Clock::span(std::max(times.timeout, times.deadline));
-  writer_.set_times(
-      deadline, times.send_within ? now + Clock::span(*times.send_within) : Clock::Steady::time_point::max());
+  const Clock::Steady::time_point deadline =
+      now + Clock::to_duration(std::max(times.timeout, times.deadline));
+  writer_.set_times(deadline, times.send_within ? now + Clock::to_duration(*times.send_within)
+                                                : Clock::Steady::time_point::max());
   start_timeout();
   pool_->start(shared_from_this());
 }
@@ -72,7 +73,7 @@
 // The timeout counts from now on, and for a request whose body is still arriving anew from its last byte.
 void UpstreamAttempt::start_timeout() {
   if (writer_.has_remaining_body()) return;
-  timeout_timer_.expires_at(Clock::Steady::now() + Clock::span(timeout_));
+  timeout_timer_.expires_at(Clock::Steady::now() + Clock::to_duration(timeout_));
   timeout_timer_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (cancelled || self->is_over() || self->reader_.is_streaming()) return;
     self->finish(self->is_sent() ? Outcome::kTimedOut : Outcome::kConnectFailed, ConnectionReuse::kClose);
--- a/node/upstream/upstream_client.cpp
+++ b/node/upstream/upstream_client.cpp
@@ -44,7 +44,7 @@
                                             const AttemptTimes& times, AttemptCallbacks callbacks) {
   const auto attempt = std::make_shared<UpstreamAttempt>(context_, std::move(callbacks));
   const auto entry = pools_.find(server);
-  if (entry == pools_.end() || !(times.timeout > 0) || !request->is_complete()) {
+  if (entry == pools_.end() || !(times.timeout > 0) || !request->is_sendable()) {
     attempt->end_later(Outcome::kNotSent);
   } else {
     attempt->assign(entry->second, request, times);
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -52,9 +52,9 @@
   EXPECT_EQ(config.seed, 255U);
   EXPECT_EQ(config.descriptor_limit, 256U);
   EXPECT_EQ(config.memory_limit_bytes, std::size_t{192} * 1024 * 1024);
-  EXPECT_EQ(config.max_open, 5U);
+  EXPECT_EQ(config.max_open_requests, 5U);
   EXPECT_EQ(config.connect_timeout, 0.25);
-  EXPECT_FALSE(config.ops);
+  EXPECT_FALSE(config.admin_address);
 }
 
 TEST_F(ConfigFile, FieldWrong_Read_ErrorNamesItAndTheReason) {
@@ -81,11 +81,11 @@
 TEST(DescriptorBudget, ListenerShared_Divided_BothProcessesStayWithinTheLimit) {
   const DescriptorBudget alone = divide_descriptors(1024, false, false);
   EXPECT_EQ(alone.clients, 500U);
-  EXPECT_EQ(alone.overflow, 125U);
+  EXPECT_EQ(alone.rejected_clients, 125U);
   EXPECT_EQ(alone.upstream, 375U);
   const DescriptorBudget shared = divide_descriptors(1024, true, true);
   const std::size_t own = 24 + 17;
-  EXPECT_LE(shared.clients + shared.overflow + 2 * (shared.upstream + own), 1024U);
+  EXPECT_LE(shared.clients + shared.rejected_clients + 2 * (shared.upstream + own), 1024U);
   EXPECT_EQ(divide_descriptors(64, true, false).clients, own / 2) << "with hardly any, something for each";
 }
 
--- a/tests/node/memory_budget_test.cpp
+++ b/tests/node/memory_budget_test.cpp
@@ -68,9 +68,9 @@
 TEST_F(MemoryBudgetTest, UseAtTheFractionIsNotUnderIt) {
   MemoryBudget::Reservation reservation(budget);
   reservation.resize(24);
-  EXPECT_TRUE(budget.is_under(0.25));
+  EXPECT_TRUE(budget.is_below_fraction(0.25));
   reservation.resize(25);
-  EXPECT_FALSE(budget.is_under(0.25));
+  EXPECT_FALSE(budget.is_below_fraction(0.25));
 }
 
 }  // namespace
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -182,7 +182,8 @@
   for (std::size_t i = 0; i < invalid.size(); ++i) {
     deployment.program->reload(invalid[i].text);
     ASSERT_TRUE(eventually([&] {
-      return deployment.program->count_in_log("all stays as it was") == static_cast<int>(i + 1);
+      return deployment.program->count_in_log("the configuration in force is kept") ==
+             static_cast<int>(i + 1);
     })) << invalid[i].named_in_log
         << deployment.program->log();
     const std::string log = deployment.program->log();
