--- a/node/dispatch/dispatcher.cpp
+++ b/node/dispatch/dispatcher.cpp
@@ -174,7 +174,7 @@
 // settings let attempts be cancelled says nothing about those that are not sent yet.
 void Dispatcher::withdraw_unsent_attempts(const InFlightRequest& request) {
   for (const InFlightRequest::Attempt& attempt : request.attempts()) {
-    upstream_.withdraw_unsent(attempt.handle);
+    upstream_.cancel_unsent(attempt.handle);
   }
 }
 
--- a/node/upstream/attempt_types.h
+++ b/node/upstream/attempt_types.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a caller gives to an attempt and is notified of. Plain records without behaviour.
+/// The time limits that the starter of an attempt sets, and the callbacks that notify it. Plain records.
 #pragma once
 
 #include <functional>
@@ -11,22 +11,25 @@
 
 namespace nettleyoke::node {
 
-/// Notifications about one attempt, never from within the call that starts it.
+/// Callbacks about one attempt. They never run inside the call that starts the attempt.
 ///
-/// Both give the seconds since the request was sent: up to the first bytes of the response where it had
-/// begun, else up to now. A request whose body was still arriving counts as sent with its last byte.
+/// Both receive `elapsed`: the seconds from the sending of the request to the first bytes of a streamed
+/// response, or to the callback if the response is not streamed. A request whose body is still arriving when
+/// the attempt starts counts as sent once its last byte is written.
 struct AttemptCallbacks {
-  /// At most once: a large response has begun, and its body arrives through the pipe.
-  std::function<void(HttpResponse&& head, std::shared_ptr<BodyPipe> body, double elapsed)> begun;
-  /// Exactly once. The response is set for Outcome::kSucceeded alone, and only if it had not begun before.
-  std::function<void(Outcome, HttpResponse&&, double elapsed)> ended;
+  /// Called at most once, when a large response has started; its body follows through the pipe.
+  std::function<void(HttpResponse&& head, std::shared_ptr<BodyPipe> body, double elapsed)>
+      on_response_started;
+  /// Called exactly once. The response is set only for Outcome::kSucceeded, and only if on_response_started
+  /// was not called.
+  std::function<void(Outcome, HttpResponse&&, double elapsed)> on_ended;
 };
 
-/// All in seconds, counted from the start of the attempt.
-struct AttemptTimes {
+/// Time limits of an attempt, in seconds from its start.
+struct AttemptTimeLimits {
   double timeout = 0;   ///< how long to wait for the response
-  double deadline = 0;  ///< what the server is notified that it has; never less than `timeout`
-  std::optional<double> send_within = {};  ///< the request fails if its last byte is not written by then
+  double deadline = 0;  ///< the time that X-Timeout-Ms gives the server; raised to `timeout` if it is less
+  std::optional<double> send_within = {};  ///< the attempt fails if the last byte is not written by then
 };
 
 }  // namespace nettleyoke::node
--- a/node/upstream/request_writer.cpp
+++ b/node/upstream/request_writer.cpp
@@ -11,7 +11,8 @@
 namespace nettleyoke::node {
 namespace {
 
-constexpr std::size_t kMaxCopiedBodyBytes = std::size_t{16} * 1024;  // of a body that is sent with its head
+// A larger body is not copied behind its head but written after it.
+constexpr std::size_t kMaxCopiedBodyBytes = std::size_t{16} * 1024;
 constexpr const char* kLastChunk = "0\r\n\r\n";
 constexpr double kMillisecondsPerSecond = 1000;
 
@@ -19,7 +20,7 @@
   return remaining_body && !remaining_body->length();
 }
 
-// A piece of a body in its form on the wire: as a chunk where the body has no known length.
+// Encodes a piece of the body for the wire: as a chunk if the body has no known length.
 std::string to_wire(const std::string& piece, const std::shared_ptr<BodyPipe>& remaining_body) {
   if (!is_chunked(remaining_body) || piece.empty()) return piece;
   std::ostringstream out;
@@ -35,7 +36,7 @@
   is_streamed_ = remaining_body_ != nullptr;
 }
 
-void RequestWriter::set_times(Clock::Steady::time_point deadline, Clock::Steady::time_point send_by) {
+void RequestWriter::set_time_limits(Clock::Steady::time_point deadline, Clock::Steady::time_point send_by) {
   deadline_ = deadline;
   send_by_ = send_by;
 }
@@ -45,28 +46,29 @@
   head.base() = request_->request.base();
   head.set(boost::beast::http::field::host,
            server.address().to_string() + ":" + std::to_string(server.port()));
-  // What remains now: a part of the time may have passed in the wait for the connection.
+  // The time that is left now: the wait for the connection may have used a part of it.
   const double time_left = std::chrono::duration<double>(deadline_ - Clock::Steady::now()).count();
   const double milliseconds = std::max(1.0, std::floor(time_left * kMillisecondsPerSecond));
   head.set("X-Timeout-Ms", std::to_string(static_cast<long long>(milliseconds)));
   std::ostringstream text;
   text << head.base();
-  wire_ = std::move(text).str();
+  wire_bytes_ = std::move(text).str();
   const std::string& body = request_->request.body();
   if (body.size() > kMaxCopiedBodyBytes && !is_chunked(remaining_body_)) {
     initial_body_ = std::shared_ptr<const std::string>(request_, &body);
   } else {
-    wire_ += to_wire(body, remaining_body_);
+    wire_bytes_ += to_wire(body, remaining_body_);
   }
   request_.reset();
-  return reservation_.try_resize(wire_.size());
+  return reservation_.try_resize(wire_bytes_.size());
 }
 
-// Until the last byte is written nothing that arrives can be meant for this request: it would be the answer
-// to the last one. A connection that is closed before that byte has run nothing.
+// Input that arrives before the last byte is written cannot be the response to this request; it would belong
+// to the previous one, so the attempt fails. If the connection is closed before the last byte, the server has
+// not executed the request.
 RequestWriter::Progress RequestWriter::write(boost::asio::ip::tcp::socket& socket) {
-  while (written_ < wire_.size() || initial_body_ || remaining_body_) {
-    const std::string& part = initial_body_ && is_head_written_ ? *initial_body_ : wire_;
+  while (written_ < wire_bytes_.size() || initial_body_ || remaining_body_) {
+    const std::string& part = initial_body_ && is_head_written_ ? *initial_body_ : wire_bytes_;
     if (written_ == part.size()) {
       if (initial_body_) {
         finish_part();
@@ -88,23 +90,24 @@
   return Progress::kComplete;
 }
 
-// The head is written, and then the body that follows it.
+// Called when the head is written, and again when `initial_body_` is written.
 void RequestWriter::finish_part() {
   written_ = 0;
   if (!std::exchange(is_head_written_, true)) return;
   initial_body_.reset();
-  wire_.clear();
+  wire_bytes_.clear();
 }
 
-// Takes what has arrived of the rest of the body; false while there is nothing to write.
+// Loads the bytes of the body that have arrived into `wire_bytes_`. Returns false if there is nothing to
+// write yet.
 bool RequestWriter::load_next_piece() {
   const std::string piece = remaining_body_->take();
   written_ = 0;
-  wire_ = to_wire(piece, remaining_body_);
-  reservation_.resize(wire_.capacity());
+  wire_bytes_ = to_wire(piece, remaining_body_);
+  reservation_.resize(wire_bytes_.capacity());
   if (!piece.empty()) return true;
   if (!remaining_body_->is_complete()) return false;
-  if (is_chunked(remaining_body_)) wire_ = kLastChunk;
+  if (is_chunked(remaining_body_)) wire_bytes_ = kLastChunk;
   remaining_body_.reset();
   return true;
 }
@@ -114,7 +117,7 @@
 }
 
 void RequestWriter::release_memory() {
-  wire_ = {};
+  wire_bytes_ = {};
   reservation_.resize(0);
 }
 
--- a/node/upstream/request_writer.h
+++ b/node/upstream/request_writer.h
@@ -1,6 +1,6 @@
 /// @file
-/// The bytes of one request on their way to a server. It owns what is not written yet and puts it on a socket
-/// without ever waiting; the waits in between are its attempt's part.
+/// Writes one request to a server's socket without blocking. Owns the bytes that are not written yet. The
+/// attempt that uses it does the waiting.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -20,37 +20,39 @@
  public:
   enum class Progress {
     kComplete,        ///< the last byte is written
-    kAwaitingBody,    ///< nothing to write until more of the body has arrived
-    kBodyAborted,     ///< the rest of the body will not arrive; the last byte was not written
-    kAwaitingSocket,  ///< the socket takes no more now
-    kFailed           ///< the server broke off or spoke early, or the time to send is over
+    kAwaitingBody,    ///< nothing to write until more of the body arrives
+    kBodyAborted,     ///< the body will not be completed; the last byte was not written
+    kAwaitingSocket,  ///< the socket accepts no more bytes for now
+    kFailed           ///< the server closed, reset or sent bytes too early, or `send_by` has passed
   };
 
-  /// @param reservation the memory that the request takes in its form on the wire
+  /// @param reservation accounts for the memory of the serialized request
   explicit RequestWriter(MemoryBudget::Reservation& reservation) : reservation_(reservation) {}
 
-  /// Takes a request that is complete, as OutgoingRequest has it.
+  /// Sets the request to write; OutgoingRequest::is_sendable() has to hold for it.
   void assign(std::shared_ptr<const OutgoingRequest> request);
-  /// @param deadline what the server is notified of as the time that it has
-  /// @param send_by no byte is written after this
-  void set_times(Clock::Steady::time_point deadline, Clock::Steady::time_point send_by);
-  /// Whether the request's client has left, as far as this machine knows; before serialize() alone.
+  /// @param deadline serialize() sends the time until then to the server, as X-Timeout-Ms
+  /// @param send_by no byte is written after this time
+  void set_time_limits(Clock::Steady::time_point deadline, Clock::Steady::time_point send_by);
+  /// Whether the client has closed its connection (see OutgoingRequest::is_abandoned). Only valid before
+  /// serialize().
   bool is_abandoned() const { return request_->is_abandoned && request_->is_abandoned(); }
-  /// Puts the request into its form on the wire and lets go of it.
-  /// @return false if the memory budget does not allow it.
+  /// Serializes the request and releases it.
+  /// @return false if the memory budget does not have the bytes
   [[nodiscard]] bool serialize(const boost::asio::ip::tcp::endpoint& server);
-  /// Writes until the request is complete or has to wait.
+  /// Writes until the request is complete, has to wait or fails.
   [[nodiscard]] Progress write(boost::asio::ip::tcp::socket& socket);
-  /// Calls once when there is more of the body, or no more to come; after Progress::kAwaitingBody.
+  /// Calls `callback` once, when more of the body has arrived or its writer has ended it. Only valid after
+  /// Progress::kAwaitingBody.
   void when_body_readable(std::function<void()> callback);
-  /// Gives back the memory of a request that is complete.
+  /// Releases the memory and the reservation of a completely written request.
   void release_memory();
-  /// No more of the body is wanted. A body of which nothing was taken is left for the next attempt.
+  /// Stops reading the body. If no part of the body has been read, the pipe stays open for the next attempt.
   void close_body();
 
-  /// Whether the request's body was still arriving when the attempt began.
+  /// Whether the request's body was still arriving when the attempt started.
   bool is_streamed() const { return is_streamed_; }
-  /// Whether a part of the body is still to arrive.
+  /// Whether a part of the body has still to be taken from the pipe.
   bool has_remaining_body() const { return remaining_body_ != nullptr; }
 
  private:
@@ -61,11 +63,12 @@
   std::shared_ptr<const OutgoingRequest> request_;
   Clock::Steady::time_point deadline_;
   Clock::Steady::time_point send_by_ = Clock::Steady::time_point::max();
-  std::string wire_;                                 // the head, and then a piece of the body at a time
-  std::shared_ptr<const std::string> initial_body_;  // follows the head, where it is too large to be copied
-  bool is_head_written_ = false;                     // `initial_body_` is being written
-  std::size_t written_ = 0;                          // bytes of the part that is being written
-  std::shared_ptr<BodyPipe> remaining_body_;         // empty once all of it is in `wire_`
+  std::string wire_bytes_;  // the head, then one piece of the body at a time
+  // Sent after the head if it is too large to copy into `wire_bytes_`; null otherwise.
+  std::shared_ptr<const std::string> initial_body_;
+  bool is_head_written_ = false;              // true: `initial_body_` is being written, if there is one
+  std::size_t written_ = 0;                   // written bytes of `wire_bytes_` or `initial_body_`
+  std::shared_ptr<BodyPipe> remaining_body_;  // null once all of it is in `wire_bytes_`
   bool is_streamed_ = false;
 };
 
--- a/node/upstream/response_reader.cpp
+++ b/node/upstream/response_reader.cpp
@@ -8,9 +8,9 @@
 
 namespace http = boost::beast::http;
 
-constexpr int kMaxInterimResponses = 8;  // 1xx ahead of a response
-constexpr std::size_t kBodyPieceBytes = std::size_t{16} * 1024;
-// The slowest that peers are said to send bodies at.
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final one
+constexpr std::size_t kBodyChunkBytes = std::size_t{16} * 1024;
+// The lowest rate at which peers are specified to send bodies.
 constexpr double kMinBodyBytesPerSecond = 64e3;
 
 constexpr unsigned kOk = 200;
@@ -23,25 +23,25 @@
   parser_.emplace();
   parser_->header_limit(kHeaderLimit);
   parser_->body_limit(kBodyLimit);
-  // An eager parser may take in a part of the body with the head, before there is a place for it.
+  // An eager parser may parse a part of the body together with the head, before the body buffer is set.
   parser_->eager(false);
 }
 
 ResponseReader::Parser& ResponseReader::prepare_read() {
-  piece_.resize(kBodyPieceBytes);
+  body_chunk_.resize(kBodyChunkBytes);
   http::buffer_body::value_type& target = parser_->get().body();
-  target.data = piece_.data();
-  target.size = piece_.size();
+  target.data = body_chunk_.data();
+  target.size = body_chunk_.size();
   target.more = true;
   return *parser_;
 }
 
 void ResponseReader::consume_read() {
-  const std::size_t count = kBodyPieceBytes - parser_->get().body().size;
+  const std::size_t count = kBodyChunkBytes - parser_->get().body().size;
   if (pipe_) {
-    pipe_->write(piece_.data(), count);
+    pipe_->write(body_chunk_.data(), count);
   } else {
-    body_.append(piece_.data(), count);
+    body_.append(body_chunk_.data(), count);
   }
 }
 
@@ -78,19 +78,19 @@
       return Outcome::kSucceeded;
     case kServiceUnavailable:
     case kGatewayTimeout:
-      // Without the mark it may come from a tier behind the server, and the request may have run.
+      // Without this header the response may come from a tier behind the server, and the server may have
+      // executed the request.
       return response["X-Not-Processed"] == "1" ? Outcome::kRejected : Outcome::kServerError;
     default:
       return Outcome::kServerError;
   }
 }
 
-// What can't be read as a response came from a server that had the request: it may have run too.
-Outcome ResponseReader::outcome_of_failed_read(const boost::system::error_code& problem) {
-  const bool is_disconnect = problem == http::error::end_of_stream ||
-                             problem == http::error::partial_message ||
-                             problem.category() == boost::system::system_category() ||
-                             problem.category() == boost::asio::error::get_misc_category();
+// A server that sends a malformed response had the request and may have executed it, as after a disconnect.
+Outcome ResponseReader::outcome_of_read_error(const boost::system::error_code& error) {
+  const bool is_disconnect = error == http::error::end_of_stream || error == http::error::partial_message ||
+                             error.category() == boost::system::system_category() ||
+                             error.category() == boost::asio::error::get_misc_category();
   return is_disconnect ? Outcome::kReset : Outcome::kUnknown;
 }
 
@@ -108,8 +108,8 @@
   body_ = {};
 }
 
-std::size_t ResponseReader::memory() const {
-  return piece_.capacity() + (is_streaming() ? 0 : body_.capacity());
+std::size_t ResponseReader::memory_bytes() const {
+  return body_chunk_.capacity() + (is_streaming() ? 0 : body_.capacity());
 }
 
 }  // namespace nettleyoke::node
--- a/node/upstream/response_reader.h
+++ b/node/upstream/response_reader.h
@@ -1,6 +1,6 @@
 /// @file
-/// One response as it arrives: its parser, its body while that is kept complete, and the pipe of a body that
-/// is passed on. It judges what has arrived and never touches a socket or a timer.
+/// Parses one response as it arrives and classifies it. Owns the parser and either the buffered body or the
+/// pipe through which the body is streamed. Never uses a socket or a timer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,48 +22,49 @@
  public:
   using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
-  /// Starts anew, as after each interim response.
+  /// Prepares for a new response; also needed after each interim (1xx) response.
   void reset();
-  /// Makes a place for the next bytes of the body.
+  /// Provides the buffer for the next bytes of the body.
   /// @return the parser to read into
   Parser& prepare_read();
-  /// Takes in what the last read brought of the body, be it nothing.
+  /// Adds the body bytes of the last read, if any, to the buffered body or the pipe.
   void consume_read();
 
   bool is_done() const { return parser_->is_done(); }
-  /// Whether it is known to be larger than what is passed on complete.
+  /// Whether the body is known to be larger than kMaxUnstreamedBodyBytes.
   bool is_large() const;
-  /// Whether one of no known length has arrived fast enough to be a large one in progress.
-  /// @param seconds since its first byte
+  /// Whether this is a successful response of unknown length whose body arrives fast enough to be large.
+  /// @param seconds since the first byte of the response
   bool is_making_progress(double seconds) const;
   bool is_ok() const { return parser_->get().result() == boost::beast::http::status::ok; }
   bool is_interim() const;
   /// Counts an interim response.
-  /// @return false if it is one that can't be passed over, or one too many.
+  /// @return false if it is 101 (Switching Protocols), which cannot be skipped, or exceeds the maximum number
   [[nodiscard]] bool accept_interim();
-  /// Whether it ends with its connection though the server did not say that it would close.
+  /// Whether only the close of the connection ended the body, and the server had not announced the close: the
+  /// body may be incomplete.
   bool is_cut_short() const;
-  bool keeps_connection() const { return parser_->keep_alive(); }
-  /// What a response with this head means for the request.
+  bool keeps_connection_open() const { return parser_->keep_alive(); }
+  /// The outcome that the status and the header fields of the response stand for.
   Outcome outcome() const;
-  /// What it means that a response could not be read to its end.
-  static Outcome outcome_of_failed_read(const boost::system::error_code& problem);
+  /// The outcome of an attempt whose response could not be read to its end.
+  static Outcome outcome_of_read_error(const boost::system::error_code& error);
 
   HttpResponse head() const;
   std::string take_body() { return std::move(body_); }
-  /// Bytes of memory that it takes beside the connection's buffer.
-  std::size_t memory() const;
+  /// Bytes of memory that the response uses, without the connection's buffer.
+  std::size_t memory_bytes() const;
 
-  /// From here on the body is passed on as it arrives, first what has arrived so far.
+  /// Starts to stream the body: writes the buffered part to a new pipe; later bytes go there as they arrive.
   void start_streaming(boost::asio::io_context& io, MemoryBudget& budget);
   bool is_streaming() const { return pipe_ != nullptr; }
   const std::shared_ptr<BodyPipe>& pipe() const { return pipe_; }
 
  private:
   std::optional<Parser> parser_;
-  std::vector<char> piece_;         // of the body, as it is parsed
-  std::string body_;                // of a response that is passed on complete
-  std::shared_ptr<BodyPipe> pipe_;  // of one that is not
+  std::vector<char> body_chunk_;    // body bytes of the last read
+  std::string body_;                // buffered body of a response that is not streamed
+  std::shared_ptr<BodyPipe> pipe_;  // set once the response is streamed
   int interim_responses_ = 0;
 };
 
--- a/node/upstream/server_connection.cpp
+++ b/node/upstream/server_connection.cpp
@@ -11,8 +11,9 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// A connection is dropped after this fraction of the server's idle timeout. A request written to it just as
-// the server closes it ends as a reset, which a non-idempotent class can't retry.
+// An idle connection is dropped after this fraction of the server's idle timeout. If a request were written
+// just as the server closes the connection, the attempt would end as a reset, and a non-idempotent request
+// class cannot retry after a reset.
 constexpr double kIdleTimeoutFraction = 0.85;
 constexpr std::size_t kMaxIdleBufferBytes = 4096;
 
@@ -25,10 +26,10 @@
   endpoint_ = endpoint;
   timer_.expires_after(Clock::to_duration(timeout));
   timer_.async_wait([self = shared_from_this()](error_code cancelled) {
-    if (!cancelled && !self->pool_->is_client_closed()) self->pool_->on_connected(self, false);
+    if (!cancelled && !self->pool_->is_upstream_client_closed()) self->pool_->on_connected(self, false);
   });
-  socket_.async_connect(endpoint, [self = shared_from_this()](error_code problem) {
-    if (!self->pool_->is_client_closed()) self->pool_->on_connected(self, !problem);
+  socket_.async_connect(endpoint, [self = shared_from_this()](error_code error) {
+    if (!self->pool_->is_upstream_client_closed()) self->pool_->on_connected(self, !error);
   });
 }
 
@@ -48,15 +49,16 @@
   state_ = State::kIdle;
   reusable_at_ = reusable_at;
   idle_generation_ += 1;
-  const auto end = [self = shared_from_this(), generation = idle_generation_](error_code cancelled) {
-    if (!cancelled && !self->pool_->is_client_closed() && self->is_idle() &&
+  const auto drop_if_still_idle = [self = shared_from_this(),
+                                   generation = idle_generation_](error_code cancelled) {
+    if (!cancelled && !self->pool_->is_upstream_client_closed() && self->is_idle() &&
         self->idle_generation_ == generation) {
       self->pool_->drop(self);
     }
   };
   timer_.expires_after(Clock::to_duration(idle_timeout * kIdleTimeoutFraction));
-  timer_.async_wait(end);
-  socket_.async_wait(tcp::socket::wait_read, end);
+  timer_.async_wait(drop_if_still_idle);
+  socket_.async_wait(tcp::socket::wait_read, drop_if_still_idle);
 }
 
 void ServerConnection::stop_idling() {
@@ -64,7 +66,7 @@
   idle_generation_ += 1;
   cancel_timer(timer_);
   error_code ignored;
-  socket_.cancel(ignored);  // the wait for the server's close
+  socket_.cancel(ignored);  // ends the wait for input or a close
 }
 
 void ServerConnection::close() {
@@ -74,7 +76,7 @@
   socket_.close(ignored);
 }
 
-// On a core that others share the event loop may have seen neither the timer nor the close yet.
+// On a shared core the event loop may lag and may not have handled the timer or the close yet.
 bool ServerConnection::is_healthy(Clock::Steady::time_point now) {
   return timer_.expiry() > now && !is_readable(socket_);
 }
--- a/node/upstream/server_connection.h
+++ b/node/upstream/server_connection.h
@@ -1,6 +1,6 @@
 /// @file
-/// One connection to one server. It owns the socket, the timer of connecting and idling, and the read buffer;
-/// it never decides who uses it next, which is its pool's part.
+/// One connection to one server. Owns the socket, the timer for connecting and idling, and the read buffer.
+/// Its pool decides which attempt uses it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,32 +21,35 @@
  public:
   ServerConnection(boost::asio::io_context& io, std::shared_ptr<ServerPool> pool);
 
-  /// Starts to connect; the pool's on_connected() hears of the result, or of the timeout, once.
+  /// Starts to connect. Calls the pool's on_connected() with the result or after the timeout, possibly with
+  /// both; finish_connecting() accepts only the first.
   /// @param timeout s
   void connect(const boost::asio::ip::tcp::endpoint& endpoint, double timeout);
-  /// Ends the wait for the connect.
-  /// @return false if it had ended before: the timer and the connect can both complete.
+  /// Ends the connecting state.
+  /// @return false if it had ended before: the timer and the connect can both complete
   [[nodiscard]] bool finish_connecting();
-  /// Notes which process of the server it leads to.
+  /// Records which process of the server the connection leads to.
   void set_incarnation(std::uint64_t incarnation) { incarnation_ = incarnation; }
   void disable_nagle();
 
-  /// From here on it carries nothing. The pool drops it when the server closes it or speaks unasked, or
-  /// before the server's own idle timeout.
+  /// Marks the connection as idle. The pool drops it when the server closes it or sends bytes, and in any
+  /// case before the server's idle timeout.
+  /// @param reusable_at end of the quarantine
   /// @param idle_timeout s, of the server
   void start_idling(Clock::Steady::time_point reusable_at, double idle_timeout);
-  /// From here on it carries an attempt.
+  /// Marks the connection as used by an attempt.
   void stop_idling();
   void close();
 
   bool is_idle() const { return state_ == State::kIdle; }
   bool is_in_quarantine(Clock::Steady::time_point now) const { return reusable_at_ > now; }
-  /// Whether an idle connection can still carry a request, as far as this machine knows.
+  /// Whether an idle connection can be used: it has not expired, and the operating system has received
+  /// neither a close nor bytes from the server.
   [[nodiscard]] bool is_healthy(Clock::Steady::time_point now);
-  /// Whether the server has closed it or sent bytes that nobody asked for.
+  /// Whether the server has closed the connection or sent bytes that belong to no request.
   [[nodiscard]] bool has_unexpected_input();
   Clock::Steady::time_point idle_expires_at() const { return timer_.expiry(); }
-  /// Gives back the memory of a read buffer that is larger than an idle connection may keep.
+  /// Releases the memory of the read buffer if it is larger than an idle connection may keep.
   void trim_buffer();
 
   std::uint64_t incarnation() const { return incarnation_; }
@@ -58,18 +61,18 @@
  private:
   enum class State { kConnecting, kInUse, kIdle, kClosed };
 
-  /// Bytes of a response that may wait to be parsed: a complete head and some more. A parser asks for more of
-  /// a line that does not end, as in the extension of a chunk, for as long as the buffer takes it.
+  /// Maximum unparsed bytes of a response: a complete head and some more. This also bounds a line without
+  /// end, such as a chunk extension: the parser requests more of it as long as the buffer has space.
   static constexpr std::size_t kMaxUnparsedBytes = kHeaderLimit + 16 * 1024;
 
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer timer_;  // for the connect, then for idling
+  boost::asio::steady_timer timer_;  // timeout of the connect, then of idling
   boost::beast::flat_buffer buffer_{kMaxUnparsedBytes};
   std::shared_ptr<ServerPool> pool_;
   boost::asio::ip::tcp::endpoint endpoint_;
   State state_ = State::kConnecting;
   std::uint64_t incarnation_ = 0;
-  std::uint64_t idle_generation_ = 0;  // tells a wait of this idling from one of an earlier one
+  std::uint64_t idle_generation_ = 0;  // number of the idle period; waits of earlier ones have no effect
   Clock::Steady::time_point reusable_at_;
 };
 
--- a/node/upstream/server_pool.cpp
+++ b/node/upstream/server_pool.cpp
@@ -13,54 +13,57 @@
 
 using boost::system::error_code;
 
-// A connection is in quarantine this long after a response before it carries the next request. What some
-// servers send behind a response, such as a second copy of it, may arrive a moment later and would pass for
-// the next response.
+// How long a connection stays in quarantine after a response before it may carry the next request. Some
+// servers send extra bytes after a response, such as a second copy of it. They may arrive slightly later and
+// would be taken for the next response.
 constexpr std::chrono::milliseconds kReuseQuarantine{4};
 
 }  // namespace
 
 ServerPool::ServerPool(std::shared_ptr<UpstreamContext> context) : context_(std::move(context)) {}
 
-void ServerPool::update(const boost::asio::ip::tcp::endpoint& endpoint, double started, bool usable) {
-  const bool is_same_process = endpoint_ == endpoint && started_ == started;
+void ServerPool::update(const boost::asio::ip::tcp::endpoint& endpoint, double started_at, bool usable) {
+  const bool is_same_process = endpoint_ == endpoint && started_at_ == started_at;
   if (!is_same_process) incarnation_ += 1;
-  started_ = started;
+  started_at_ = started_at;
   usable_ = usable;
   if (endpoint.port() != 0) endpoint_ = endpoint;
   if (!is_same_process || !usable) drop_idle();
 }
 
-// Another server may stand at the address by now and would take in what was meant for this one.
+// By now another server may use the address and would execute requests that were meant for this server.
 void ServerPool::retire() {
   usable_ = false;
   drop_idle();
-  const std::deque<std::shared_ptr<UpstreamAttempt>> waiting = waiting_;
-  for (const std::shared_ptr<UpstreamAttempt>& attempt : waiting) attempt->end_later(Outcome::kConnectFailed);
+  // Iterates over a copy: each attempt removes itself from the queue.
+  const std::deque<std::shared_ptr<UpstreamAttempt>> attempts = waiting_attempts_;
+  for (const std::shared_ptr<UpstreamAttempt>& attempt : attempts) {
+    attempt->finish_later(Outcome::kConnectFailed);
+  }
 }
 
 void ServerPool::close() {
   drop_idle();
-  waiting_.clear();  // attempts and pools hold each other
+  waiting_attempts_.clear();  // breaks the reference cycle between attempts and their pool
 }
 
 void ServerPool::start(const std::shared_ptr<UpstreamAttempt>& attempt) {
   if (std::shared_ptr<ServerConnection> connection = take_idle()) {
     attempt->begin(std::move(connection));
-  } else if (idle_.size() > waiting_.size()) {
-    // One in quarantine will be free sooner than a new one is up.
-    waiting_.push_back(attempt);
-    serve_after_quarantine();
+  } else if (idle_.size() > waiting_attempts_.size()) {
+    // The quarantine of an idle connection ends sooner than a new connect would complete.
+    waiting_attempts_.push_back(attempt);
+    start_waiting_after_quarantine();
   } else if (context_->ensure_capacity()) {
-    waiting_.push_back(attempt);
+    waiting_attempts_.push_back(attempt);
     connect();
   } else {
-    attempt->end_later(Outcome::kNotSent);
+    attempt->finish_later(Outcome::kNotSent);
   }
 }
 
 void ServerPool::leave_queue(const UpstreamAttempt& attempt) {
-  std::erase_if(waiting_, [&attempt](const auto& queued) { return queued.get() == &attempt; });
+  std::erase_if(waiting_attempts_, [&attempt](const auto& queued) { return queued.get() == &attempt; });
 }
 
 // ---------------------------------------------------------------- connections
@@ -76,37 +79,38 @@
   if (!connection->finish_connecting()) return;
   connects_in_flight_ -= 1;
   if (succeeded) {
-    // A process that was advertised meanwhile is the one that accepted, unless the server has moved.
+    // If a new server process was advertised during the connect, it is the one that accepted the connection,
+    // unless the endpoint has changed.
     if (connection->endpoint() == endpoint_) connection->set_incarnation(incarnation_);
     connection->disable_nagle();
     return add_idle(connection, Origin::kNewlyConnected);
   }
   drop(connection);
-  fail_unserved();
+  fail_attempt_without_connect();
 }
 
 void ServerPool::release(const std::shared_ptr<ServerConnection>& connection) {
   add_idle(connection, Origin::kAfterResponse);
 }
 
-// A free connection serves whoever waits for one, even while that attempt's own connect is in flight; but one
-// that has just carried a response is in quarantine before.
+// A free connection goes to the first waiting attempt, even if the connect for that attempt is still in
+// flight. A connection that has just carried a response goes through its quarantine first.
 void ServerPool::add_idle(const std::shared_ptr<ServerConnection>& connection, Origin origin) {
-  // Bytes that nobody asked for would be taken for the response to the next request.
+  // Unexpected bytes would be taken for the response to the next request.
   if (connection->incarnation() != incarnation_ || !usable_ || connection->has_unexpected_input()) {
     drop(connection);
-    // This connect may have been the last one's, to where the server no longer listens or to one that
-    // speaks unasked.
-    return fail_unserved();
+    // The last waiting attempt may have depended on this connection, which leads to an old process of the
+    // server or has unexpected input.
+    return fail_attempt_without_connect();
   }
   connection->trim_buffer();
   const bool is_new = origin == Origin::kNewlyConnected;
   const Clock::Steady::time_point now = Clock::Steady::now();
   idle_.push_back(connection);
   connection->start_idling(is_new ? now : now + kReuseQuarantine, context_->limits.server_idle_timeout);
-  if (waiting_.empty()) return;
-  if (is_new) return serve_waiting();
-  serve_after_quarantine();
+  if (waiting_attempts_.empty()) return;
+  if (is_new) return start_waiting_attempts();
+  start_waiting_after_quarantine();
 }
 
 std::shared_ptr<ServerConnection> ServerPool::take_idle() {
@@ -139,60 +143,63 @@
   idle_.clear();
 }
 
-Clock::Steady::time_point ServerPool::first_idle_expiry() const { return idle_.front()->idle_expires_at(); }
+Clock::Steady::time_point ServerPool::earliest_idle_expiry() const {
+  return idle_.front()->idle_expires_at();
+}
 
 void ServerPool::drop_longest_idle() { drop(std::shared_ptr<ServerConnection>(idle_.front())); }
 
 // ---------------------------------------------------------------- waiting attempts
 
-void ServerPool::serve_waiting() {
-  while (!waiting_.empty()) {
-    const std::shared_ptr<UpstreamAttempt> next = waiting_.front();
+void ServerPool::start_waiting_attempts() {
+  while (!waiting_attempts_.empty()) {
+    const std::shared_ptr<UpstreamAttempt> next = waiting_attempts_.front();
     if (next->is_abandoned()) {
-      next->end_later(Outcome::kCancelled);
+      next->finish_later(Outcome::kCancelled);
       continue;
     }
     std::shared_ptr<ServerConnection> connection = take_idle();
     if (!connection) return;
-    waiting_.pop_front();
+    waiting_attempts_.pop_front();
     next->begin(std::move(connection));
   }
 }
 
-void ServerPool::serve_after_quarantine() {
+void ServerPool::start_waiting_after_quarantine() {
   quarantine_waits_ += 1;
   const auto timer = std::make_shared<boost::asio::steady_timer>(context_->io, kReuseQuarantine);
   timer->async_wait([self = shared_from_this(), timer](error_code) {
-    if (self->is_client_closed()) return;
+    if (self->is_upstream_client_closed()) return;
     self->quarantine_waits_ -= 1;
-    self->serve_waiting();
-    if (self->quarantine_waits_ == 0) self->connect_for_waiting();
+    self->start_waiting_attempts();
+    if (self->quarantine_waits_ == 0) self->connect_for_waiting_attempts();
   });
 }
 
-// A connection may turn out to be of no use after its quarantine, so that a connect is needed after all.
-void ServerPool::connect_for_waiting() {
-  std::size_t unserved = waiting_.size();
-  while (unserved > connects_in_flight_ && !waiting_.empty()) {
+// A connection may turn out to be unusable after its quarantine. The attempts that waited for it then need a
+// new connect.
+void ServerPool::connect_for_waiting_attempts() {
+  std::size_t unserved = waiting_attempts_.size();
+  while (unserved > connects_in_flight_ && !waiting_attempts_.empty()) {
     if (usable_ && context_->ensure_capacity()) {
       connect();
     } else {
-      fail_first();
+      fail_longest_waiting();
       --unserved;
     }
   }
 }
 
-// The one that has waited the longest for a connection gets none.
-void ServerPool::fail_first() {
-  const std::shared_ptr<UpstreamAttempt> first = waiting_.front();
+// Fails the attempt that has waited the longest for a connection.
+void ServerPool::fail_longest_waiting() {
+  const std::shared_ptr<UpstreamAttempt> first = waiting_attempts_.front();
   first->finish(Outcome::kConnectFailed, ConnectionReuse::kClose);
 }
 
-// Each attempt that waits has a connect of its own; one that got a connection that became free leaves a
-// connect to spare.
-void ServerPool::fail_unserved() {
-  if (quarantine_waits_ == 0 && waiting_.size() > connects_in_flight_) fail_first();
+// Fails one waiting attempt after a connection was lost, if fewer connects are in flight than attempts wait.
+// An attempt that was given a freed connection leaves its own connect to another waiting attempt.
+void ServerPool::fail_attempt_without_connect() {
+  if (quarantine_waits_ == 0 && waiting_attempts_.size() > connects_in_flight_) fail_longest_waiting();
 }
 
 }  // namespace nettleyoke::node
--- a/node/upstream/upstream_attempt.h
+++ b/node/upstream/upstream_attempt.h
@@ -1,6 +1,6 @@
 /// @file
-/// One attempt: a request that is sent once on one connection, and its response. It owns the attempt's state
-/// machine and timers, and reports exactly once how the attempt ended.
+/// One attempt: sends a request once on one connection and receives the response. Owns the state machine and
+/// the timers of the attempt, and reports its outcome exactly once.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -20,58 +20,59 @@
 class ServerConnection;
 class ServerPool;
 
-/// What becomes of an attempt's connection when it ends.
+/// Whether to keep or close an attempt's connection when the attempt ends.
 enum class ConnectionReuse { kKeep, kClose };
 
 class UpstreamAttempt : public std::enable_shared_from_this<UpstreamAttempt> {
  public:
   UpstreamAttempt(std::shared_ptr<UpstreamContext> context, AttemptCallbacks callbacks);
 
-  /// Takes the request and its times, and starts the timeout unless the request's body is still arriving. The
-  /// pool then calls begin() once there is a connection, or end_later().
-  /// @param times with a timeout above 0
+  /// Starts the attempt: starts the timeout unless the request's body is still arriving, and asks the pool
+  /// for a connection. The pool calls begin() once there is one, or finish_later() if none can be had.
+  /// @param limits with a timeout above 0
   void assign(std::shared_ptr<ServerPool> pool, const std::shared_ptr<const OutgoingRequest>& request,
-              const AttemptTimes& times);
-  /// Whether the request's client has left, as far as this machine knows; before begin() alone.
+              const AttemptTimeLimits& limits);
+  /// Whether the client has closed its connection (see OutgoingRequest::is_abandoned). Only valid before
+  /// begin().
   bool is_abandoned() const { return writer_.is_abandoned(); }
   /// Sends the request on a connection.
   void begin(std::shared_ptr<ServerConnection> connection);
-  /// Ends it with the next turn of the event loop: it leaves the queue at once, and a request that is half
-  /// written stays so.
-  void end_later(Outcome outcome);
-  /// Ends it and reports; not from within the call that starts it.
+  /// Ends the attempt in a later handler of the event loop. The attempt leaves the pool's queue at once, and
+  /// no more of the request is written.
+  void finish_later(Outcome outcome);
+  /// Ends the attempt and reports the outcome. Must not be called inside the call that starts the attempt.
   void finish(Outcome outcome, ConnectionReuse reuse);
 
   bool has_ended() const { return state_ == State::kEnded; }
-  /// Whether the last byte of the request is written: from there on it may have run.
+  /// Whether the last byte of the request is written: from then on the server may have executed the request.
   bool is_sent() const { return state_ != State::kSending; }
 
  private:
   enum class State {
-    kSending,            // waits for a connection, or is being written
-    kAwaitingResponse,   // its last byte is written
-    kStreamingResponse,  // the response has begun and is passed on as it arrives
+    kSending,            // waits for a connection or writes the request
+    kAwaitingResponse,   // the last byte of the request is written
+    kStreamingResponse,  // the response has started and its body is streamed
     kEnded
   };
 
-  bool is_over() const { return has_ended() || context_->is_closed; }
+  bool is_finished() const { return has_ended() || context_->is_closed; }
 
   void start_timeout();
   void start_silence_timer(Outcome outcome);
   void write();
   void wait_for_body();
   void watch_for_early_close();
-  void wait_for_writable();
+  void wait_for_socket_writable();
   void on_sent();
 
   void read_response();
   void begin_response();
   void on_completion_timeout();
   void read_more();
-  void on_read(boost::system::error_code problem);
-  bool continue_response();
+  void on_read(boost::system::error_code error);
+  bool stream_or_buffer_response();
   void start_streaming();
-  void wait_for_reader();
+  void wait_for_pipe_reader();
   void on_response_complete();
   double elapsed() const;
 
@@ -80,15 +81,17 @@
   std::shared_ptr<ServerPool> pool_;
   std::shared_ptr<ServerConnection> connection_;
   boost::asio::steady_timer timeout_timer_;
-  // From the first byte of the response until it is complete; else for a peer that is silent.
+  // Limits the time from the first byte of the response to its completion, and the silence of the peer during
+  // streaming.
   boost::asio::steady_timer progress_timer_;
   State state_ = State::kSending;
-  bool is_ending_ = false;                // end_later() was called: nothing more of the request goes out
-  bool is_watching_early_close_ = false;  // for a server that breaks off before it has the complete request
+  bool is_finish_scheduled_ = false;      // finish_later() was called: no more of the request is written
+  bool is_watching_early_close_ = false;  // for a server that closes before it has the complete request
   double timeout_ = 0;                    // s
-  Clock::Steady::time_point sent_at_ = Clock::Steady::now();  // when it began, until it is known better
+  // The start of the attempt; for a streamed request, the time when its last byte was written.
+  Clock::Steady::time_point sent_at_ = Clock::Steady::now();
   Clock::Steady::time_point first_byte_at_;
-  MemoryBudget::Reservation reservation_;  // of the request on the wire, then of the response
+  MemoryBudget::Reservation reservation_;  // for the serialized request, then for the response
   RequestWriter writer_{reservation_};
   ResponseReader reader_;
 };
--- a/node/upstream/upstream_client.cpp
+++ b/node/upstream/upstream_client.cpp
@@ -23,14 +23,15 @@
 }
 
 void UpstreamClient::update_server(const std::string& server, const boost::asio::ip::tcp::endpoint& endpoint,
-                                   double started, bool usable) {
+                                   double started_at, bool usable) {
   std::shared_ptr<ServerPool>& pool = pools_[server];
   if (!pool) pool = std::make_shared<ServerPool>(context_);
-  pool->update(endpoint, started, usable);
+  pool->update(endpoint, started_at, usable);
 }
 
-// What is still in flight on the pool's connections keeps it alive; a server that is listed anew gets a pool
-// of its own. The decision library is notified of failed attempts after it has heard that the server is gone.
+// Attempts in flight keep the old pool alive; a server that is listed again gets a new pool. The waiting
+// attempts fail in a later handler, so the decision library learns of the removal of the server before their
+// failures.
 void UpstreamClient::remove_server(const std::string& server) {
   const auto entry = pools_.find(server);
   if (entry == pools_.end()) return;
@@ -41,37 +42,39 @@
 
 AttemptHandle UpstreamClient::start_attempt(const std::string& server,
                                             const std::shared_ptr<const OutgoingRequest>& request,
-                                            const AttemptTimes& times, AttemptCallbacks callbacks) {
+                                            const AttemptTimeLimits& limits, AttemptCallbacks callbacks) {
   const auto attempt = std::make_shared<UpstreamAttempt>(context_, std::move(callbacks));
   const auto entry = pools_.find(server);
-  if (entry == pools_.end() || !(times.timeout > 0) || !request->is_sendable()) {
-    attempt->end_later(Outcome::kNotSent);
+  if (entry == pools_.end() || !(limits.timeout > 0) || !request->is_sendable()) {
+    attempt->finish_later(Outcome::kNotSent);
   } else {
-    attempt->assign(entry->second, request, times);
+    attempt->assign(entry->second, request, limits);
   }
   return attempt;
 }
 
 void UpstreamClient::cancel(const AttemptHandle& handle) {
   const std::shared_ptr<UpstreamAttempt> attempt = handle.lock();
-  if (attempt && !attempt->has_ended()) attempt->end_later(Outcome::kCancelled);
+  if (attempt && !attempt->has_ended()) attempt->finish_later(Outcome::kCancelled);
 }
 
-void UpstreamClient::withdraw_unsent(const AttemptHandle& handle) {
+void UpstreamClient::cancel_unsent(const AttemptHandle& handle) {
   const std::shared_ptr<UpstreamAttempt> attempt = handle.lock();
-  if (attempt && !attempt->is_sent()) attempt->end_later(Outcome::kCancelled);
+  if (attempt && !attempt->is_sent()) attempt->finish_later(Outcome::kCancelled);
 }
 
-// Closes the connection that has been idle the longest when there may be no more.
+// At the limit, closes the connection that has been idle the longest over all pools.
 bool UpstreamClient::ensure_capacity() {
   if (context_->connections < context_->limits.max_connections) return true;
-  ServerPool* oldest = nullptr;
+  ServerPool* longest_idle = nullptr;
   for (auto& [name, pool] : pools_) {
     if (!pool->has_idle()) continue;
-    if (oldest == nullptr || pool->first_idle_expiry() < oldest->first_idle_expiry()) oldest = pool.get();
+    if (longest_idle == nullptr || pool->earliest_idle_expiry() < longest_idle->earliest_idle_expiry()) {
+      longest_idle = pool.get();
+    }
   }
-  if (oldest == nullptr) return false;
-  oldest->drop_longest_idle();
+  if (longest_idle == nullptr) return false;
+  longest_idle->drop_longest_idle();
   return true;
 }
 
--- a/node/upstream/upstream_client.h
+++ b/node/upstream/upstream_client.h
@@ -1,6 +1,6 @@
 /// @file
-/// The entry to the servers: it owns a connection pool for each server and starts attempts on them. It never
-/// chooses a server, and never sends a request twice.
+/// Sends requests to servers: owns a connection pool for each server and starts attempts on them. Does not
+/// choose servers and does not retry.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,7 +21,7 @@
 class ServerPool;
 class UpstreamAttempt;
 
-/// Does not keep its attempt alive; an attempt that is over is no error for whoever names it.
+/// Refers to an attempt without keeping it alive. It may be used after the attempt has ended.
 using AttemptHandle = std::weak_ptr<UpstreamAttempt>;
 
 class UpstreamClient {
@@ -32,26 +32,29 @@
   UpstreamClient(const UpstreamClient&) = delete;
   UpstreamClient& operator=(const UpstreamClient&) = delete;
 
-  /// For connections that are opened, or become idle, from here on.
+  /// Sets the timeouts of connections that are opened or become idle after this call.
   /// @param connect_timeout s
   /// @param server_idle_timeout s
   void set_timeouts(double connect_timeout, double server_idle_timeout);
-  /// Where a server listens, and whether it may get new work.
-  /// @param started s on the node's clock; tells one process of the server from the next
+  /// Adds a server or updates it.
+  /// @param started_at when the server's process started, s on the node's clock; identifies the process
+  /// @param usable whether the server may get new requests
   void update_server(const std::string& server, const boost::asio::ip::tcp::endpoint& endpoint,
-                     double started, bool usable);
-  /// It has left the endpoint list: attempts that are on a connection go on, nothing new is to come.
+                     double started_at, bool usable);
+  /// Removes a server that is no longer in the endpoint list. Attempts that have a connection continue;
+  /// waiting attempts fail.
   void remove_server(const std::string& server);
 
-  /// Sends a request once and reports exactly once, never from within this call.
+  /// Sends a request once. `callbacks` reports the outcome exactly once, never inside this call.
   AttemptHandle start_attempt(const std::string& server,
                               const std::shared_ptr<const OutgoingRequest>& request,
-                              const AttemptTimes& times, AttemptCallbacks callbacks);
-  /// Closes the attempt's connection; it is reported as Outcome::kCancelled, unless its end is on its way
-  /// already.
+                              const AttemptTimeLimits& limits, AttemptCallbacks callbacks);
+  /// Ends an attempt and closes its connection. The outcome is Outcome::kCancelled, unless another outcome is
+  /// already about to be reported.
   void cancel(const AttemptHandle& handle);
-  /// The same, but only if its last byte is not written yet: nobody waits for what it would bring about.
-  void withdraw_unsent(const AttemptHandle& handle);
+  /// Cancels an attempt only if the last byte of its request is not written yet: no client waits for its
+  /// result.
+  void cancel_unsent(const AttemptHandle& handle);
 
   /// Open connections to servers, and those being connected.
   std::size_t connections() const { return context_->connections; }
--- a/node/upstream/upstream_context.h
+++ b/node/upstream/upstream_context.h
@@ -1,6 +1,7 @@
 /// @file
-/// What the pools, connections and attempts of one UpstreamClient share. They hold it by shared pointer, so
-/// that a handler that is left in the event loop can see that the client is gone.
+/// State that the pools, connections and attempts of one UpstreamClient share. They hold it by shared
+/// pointer, so that a handler that is still queued in the event loop can detect that the UpstreamClient is
+/// destroyed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,10 +13,10 @@
 
 namespace nettleyoke::node {
 
-/// Limits of all connections to servers.
+/// Limits for the connections to servers.
 struct UpstreamLimits {
   double connect_timeout = 0;       ///< s
-  double server_idle_timeout = 0;   ///< s; a server may close a connection that has been idle this long
+  double server_idle_timeout = 0;   ///< s; a server may close a connection after this idle time
   std::size_t max_connections = 0;  ///< over all servers
 };
 
@@ -25,8 +26,9 @@
   Metrics& metrics;
   UpstreamLimits limits;
   std::size_t connections = 0;  ///< open ones and those being connected, over all servers
-  bool is_closed = false;       ///< the client is destroyed: handlers touch nothing but their own state
-  /// Whether one more connection may be opened; closes the longest idle one if that is needed.
+  bool is_closed = false;       ///< the UpstreamClient is destroyed: handlers may use only their own state
+  /// Whether one more connection may be opened. Closes the connection that has been idle the longest if
+  /// needed.
   std::function<bool()> ensure_capacity;
 };
 
