--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -91,7 +91,7 @@
 void DiscoveryClient::schedule_move_retry() {
   is_move_retry_pending_ = true;
   const double jitter = std::uniform_real_distribution<>()(jitter_);
-  move_retry_timer_.expires_after(Clock::span(kMoveRetrySeconds * (0.5 + jitter)));
+  move_retry_timer_.expires_after(Clock::to_duration(kMoveRetrySeconds * (0.5 + jitter)));
   move_retry_timer_.async_wait([this](error_code cancelled) {
     if (cancelled || Clock::Steady::now() < move_retry_timer_.expiry()) return;
     is_move_retry_pending_ = false;
--- a/node/dispatch/dispatcher.cpp
+++ b/node/dispatch/dispatcher.cpp
@@ -78,7 +78,7 @@
   decision_loop_.enqueue_event(MembershipUpdate{MembershipUpdate::Form::kFailed, {}});
   if (must_watch_) return;
   // If discovery pushes lists, the decision library requests no polls, and the node reconnects by itself.
-  rewatch_timer_.expires_after(Clock::span(rewatch_pauses_.next()));
+  rewatch_timer_.expires_after(Clock::to_duration(rewatch_pauses_.next()));
   rewatch_timer_.async_wait([this](error_code cancelled) {
     if (!cancelled) start_watch_();
   });
@@ -103,7 +103,7 @@
   if (in_flight_requests_.size() >= max_open_requests_) {
     return callback({FinalAnswer::Kind::kRejected, overflow_retry_after_, {}, nullptr});
   }
-  event.body_in_progress = message->rest != nullptr;
+  event.body_in_progress = message->remaining_body != nullptr;
   InFlightRequest accepted(std::move(message), std::move(callback), event.request_class, event.time_left,
                            clock_.now());
   const auto entry = in_flight_requests_.try_emplace(event.id, std::move(accepted)).first;
@@ -128,7 +128,7 @@
 
 void Dispatcher::set_deadline(const std::string& id, InFlightRequest& request, double client_deadline) {
   const double fallback_at = kMargin.fallback_at(client_deadline, request.time_left());
-  auto timer = std::make_unique<asio::steady_timer>(io_, clock_.at(fallback_at));
+  auto timer = std::make_unique<asio::steady_timer>(io_, clock_.to_time_point(fallback_at));
   timer->async_wait([this, id](error_code cancelled) {
     if (!cancelled) on_fallback_timer(id);
   });
@@ -178,7 +178,7 @@
 // only to attempts that have been sent.
 void Dispatcher::withdraw_unsent_attempts(const InFlightRequest& request) {
   for (const InFlightRequest::Attempt& attempt : request.attempts()) {
-    upstream_.withdraw_unsent(attempt.handle);
+    upstream_.cancel_unsent(attempt.handle);
   }
 }
 
@@ -272,7 +272,7 @@
 }
 
 void Dispatcher::execute(const SetTimer& action) {
-  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.at(action.due_at));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.to_time_point(action.due_at));
   timer->async_wait([this, timer, token = action.token](error_code cancelled) {
     if (!cancelled) decision_loop_.enqueue_event(TimerFired{token});
   });
--- a/node/dispatch/in_flight_request.h
+++ b/node/dispatch/in_flight_request.h
@@ -42,7 +42,7 @@
   /// Whether the request is completed and has no open attempts.
   bool is_settled() const { return is_completed() && !has_open_attempts(); }
   /// Whether a part of the body is no longer in memory, so that the request can't be sent again.
-  bool is_body_consumed() const { return !message_->is_complete(); }
+  bool is_body_consumed() const { return !message_->is_sendable(); }
 
   /// Called when the last byte of the request has arrived, and again if the deadline becomes earlier.
   /// @param client_deadline when the client gives up
