--- a/tests/node/harness/fake_discovery.h
+++ b/tests/node/harness/fake_discovery.h
@@ -36,7 +36,7 @@
 }
 
 /// Answers each watch with a head and an empty line, or with what respond_with() was given, and keeps it
-/// open; watch events are sent on the latest one.
+/// open; watch events are sent on the latest one, always behind its head.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(int port = 0)
@@ -70,17 +70,17 @@
   }
 
  private:
+  // The head is written before another thread can send on the watch: the node ends a watch whose response
+  // begins with anything else, and an event that was sent by then is lost.
   void serve(Connection& connection) {
     const std::string call = connection.read_message();
     if (call.empty()) return;
-    std::string response;
     {
       const std::lock_guard lock(mutex_);
       calls_.push_back(call);
-      response = response_.empty() ? kChunkedResponseHead + http_chunk("\n") : response_;
+      connection.write(response_.empty() ? kChunkedResponseHead + http_chunk("\n") : response_);
       current_ = &connection;
     }
-    connection.write(response);
     connection.read_to_end();
     const std::lock_guard lock(mutex_);
     if (current_ == &connection) current_ = nullptr;
