--- a/tests/unit/decision_digest_test.cpp
+++ b/tests/unit/decision_digest_test.cpp
@@ -1,7 +1,9 @@
-// Holds what the balancer decides: long drawn streams of events, and a digest of all actions for each.
-//
-// The expected constants are those of commit a43169a. They are not to change when the program is restructured
-// or renamed. A commit that changes decisions on purpose updates them and says so.
+/// @file
+/// Guards the balancer's decisions against unintended changes: runs long random event streams and compares
+/// digests of all actions with the expected ones.
+///
+/// The expected digests are those of commit a43169a. Restructuring or renaming must not change them. A commit
+/// that changes decisions on purpose updates them and says so.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -19,9 +21,9 @@
 
 constexpr std::size_t kCheckpoints = 4;
 constexpr std::size_t kEventsPerCheckpoint = 10000;
-constexpr std::size_t kEventsPerView = 100;
+constexpr std::size_t kEventsBetweenStatistics = 100;
 
-// FNV-1a over text, with numbers in a form that leaves out the last bits of a platform's libm.
+// FNV-1a hash of text.
 class Digest {
  public:
   void add(const std::string& text) {
@@ -33,20 +35,22 @@
   std::uint64_t value_ = 0xCBF29CE484222325ULL;
 };
 
+// The texts that enter the digest. Numbers have nine digits, because the last bits of libm results differ
+// between platforms.
 std::string text_of(double number) {
   std::array<char, 40> out{};
   std::snprintf(out.data(), out.size(), "%.9g", number);
   return out.data();
 }
 
-std::string text_of(const StartAttempt& send) {
-  return "send " + send.id + " " + send.server + " " + text_of(send.timeout) + " " + text_of(send.deadline) +
-         " " + (send.send_within ? text_of(*send.send_within) : "-");
+std::string text_of(const StartAttempt& started) {
+  return "send " + started.id + " " + started.server + " " + text_of(started.timeout) + " " +
+         text_of(started.deadline) + " " + (started.send_within ? text_of(*started.send_within) : "-");
 }
-std::string text_of(const Reject& refuse) {
-  return "refuse " + refuse.id + " " + text_of(refuse.retry_after);
+std::string text_of(const Reject& rejection) {
+  return "refuse " + rejection.id + " " + text_of(rejection.retry_after);
 }
-std::string text_of(const Fail& fail) { return "fail " + fail.id; }
+std::string text_of(const Fail& failure) { return "fail " + failure.id; }
 std::string text_of(const CancelAttempt& cancel) {
   return "cancel " + cancel.id + " " + std::to_string(cancel.attempt);
 }
@@ -54,13 +58,13 @@
   return "timer " + text_of(timer.due_at) + " " + std::to_string(timer.token);
 }
 std::string text_of(const WatchMembership&) { return "watch"; }
-std::string text_of(const LogLine&) { return ""; }  // wording is not a decision
+std::string text_of(const LogLine&) { return ""; }  // the wording of log lines is not a decision
 
-// Digest and counts of one stream, as its events pass by.
-class Record {
+// The digest of the actions of one stream, and counts of its events and actions by kind.
+class DecisionRecord {
  public:
-  void note(double now, std::size_t replica, const Balancer& balancer, const Event& event,
-            const std::vector<Action>& actions) {
+  void add_event(double now, std::size_t replica, const Balancer& balancer, const Event& event,
+                 const std::vector<Action>& actions) {
     ++events_;
     ++event_kinds_[event.index()];
     if (const auto* result = std::get_if<AttemptResult>(&event)) {
@@ -71,12 +75,13 @@
     }
     for (const Action& action : actions) {
       ++action_kinds_[action.index()];
-      const std::string text = std::visit([](const auto& known) { return text_of(known); }, action);
+      const std::string text =
+          std::visit([](const auto& typed_action) { return text_of(typed_action); }, action);
       if (text.empty()) continue;
       ++actions_;
       digest_.add(std::to_string(events_) + " " + std::to_string(replica) + " " + text + "\n");
     }
-    if (events_ % kEventsPerView == 0) note_views(now, balancer);
+    if (events_ % kEventsBetweenStatistics == 0) add_statistics(now, balancer);
     if (events_ % kEventsPerCheckpoint == 0 && checkpoints_.size() + 1 < kCheckpoints) {
       checkpoints_.push_back(digest_.value());
     }
@@ -98,13 +103,13 @@
   const auto& forms() const { return forms_; }
 
  private:
-  void note_views(double now, const Balancer& balancer) {
+  void add_statistics(double now, const Balancer& balancer) {
     std::string text = "views " + std::to_string(balancer.servers()) + " " +
                        std::to_string(balancer.unavailable_servers(now));
     for (std::size_t tenant = 0; tenant < 4; ++tenant) {
-      const TenantStatistics view = balancer.tenant(now, tenant);
-      text += " " + text_of(view.rate_limit) + " " + text_of(view.suppression_factor) + " " +
-              text_of(view.total) + " " + text_of(view.rejected);
+      const TenantStatistics statistics = balancer.tenant(now, tenant);
+      text += " " + text_of(statistics.rate_limit) + " " + text_of(statistics.suppression_factor) + " " +
+              text_of(statistics.total) + " " + text_of(statistics.rejected);
     }
     digest_.add(text + "\n");
   }
@@ -145,8 +150,8 @@
   return out;
 }
 
-// Other settings of which some go on by name: in another order, with one class and one tenant more.
-Settings replaced(Settings settings) {
+// Settings for a reload: the classes and tenants of the same names in another order, with one more of each.
+Settings replacement_of(Settings settings) {
   std::swap(settings.classes.front(), settings.classes.back());
   settings.classes.push_back(request_class("new", 0.8, Idempotency::kIdempotencyKey, DedupScope::kZone));
   if (!settings.tenants.empty()) {
@@ -158,31 +163,32 @@
   return settings;
 }
 
-// Calm, overload, a sick server, a slow tier, a slow server, failures everywhere, calm again; all of it
-// twice.
-std::vector<Phase> phases(double arrivals) {
+// Normal load, overload, one failing server, all servers slow, one slow server, failures of all servers and
+// of discovery, low load without discovery, overload of slow servers, normal load. The sequence runs twice.
+std::vector<Phase> phases(double arrival_rate) {
   std::vector<Phase> out = {
-      {.seconds = 15, .arrivals = arrivals},
-      {.seconds = 5, .arrivals = arrivals * 4, .flood = 0.6},
-      {.seconds = 12, .arrivals = arrivals, .failing = 0.02, .has_sick_server = true},
-      {.seconds = 8, .arrivals = arrivals * 1.5, .slowness = 3.5},
-      {.seconds = 12, .arrivals = arrivals, .has_slow_server = true},
-      {.seconds = 5, .arrivals = arrivals * 0.8, .failing = 0.5, .discovery_fails = true},
-      {.seconds = 20, .arrivals = arrivals * 0.4, .discovery_fails = true},
-      {.seconds = 6, .arrivals = arrivals * 3, .slowness = 1.6, .flood = 0.2},
-      {.seconds = 15, .arrivals = arrivals}};
+      {.seconds = 15, .arrival_rate = arrival_rate},
+      {.seconds = 5, .arrival_rate = arrival_rate * 4, .last_tenant_share = 0.6},
+      {.seconds = 12, .arrival_rate = arrival_rate, .failure_rate = 0.02, .has_failing_server = true},
+      {.seconds = 8, .arrival_rate = arrival_rate * 1.5, .slowdown = 3.5},
+      {.seconds = 12, .arrival_rate = arrival_rate, .has_slow_server = true},
+      {.seconds = 5, .arrival_rate = arrival_rate * 0.8, .failure_rate = 0.5, .discovery_fails = true},
+      {.seconds = 20, .arrival_rate = arrival_rate * 0.4, .discovery_fails = true},
+      {.seconds = 6, .arrival_rate = arrival_rate * 3, .slowdown = 1.6, .last_tenant_share = 0.2},
+      {.seconds = 15, .arrival_rate = arrival_rate}};
   const std::vector<Phase> once = out;
   out.insert(out.end(), once.begin(), once.end());
   return out;
 }
 
-Scenario scenario_of(const std::string& name, std::uint64_t seed, const Settings& settings, double arrivals) {
+Scenario scenario_of(const std::string& name, std::uint64_t seed, const Settings& settings,
+                     double arrival_rate) {
   Scenario out;
   out.name = name;
   out.seed = seed;
   out.settings = settings;
-  out.replacement = replaced(settings);
-  out.phases = phases(arrivals);
+  out.replacement = replacement_of(settings);
+  out.phases = phases(arrival_rate);
   return out;
 }
 
@@ -253,7 +259,8 @@
   settings.slow_start_duration = 15;
   settings.cross_zone_cost = 0.004;
   Scenario out = scenario_of("large_fleet", 66, settings, 90);
-  out.replacement.cross_zone_cost = 0;  // one ring, in which the cold ones go beyond the usual subset
+  out.replacement.cross_zone_cost =
+      0;  // no preferred zone: one ring, with warming servers as extra subset members
   out.replicas = 4;
   out.servers = 30;
   out.zones = 2;
@@ -288,15 +295,16 @@
   return out;
 }
 
-// Servers that turn slow together and recover, over and over: the bound on calls in flight is learned often.
+// All servers become slow and recover repeatedly, so that the overload bound is learned often.
 Scenario unsteady_servers() {
   Scenario out = scenario_of("unsteady_servers", 99, settings_for(1), 150);
   out.servers = 24;
   out.change_every = 4;
   out.phases.clear();
   for (int i = 0; i < 12; ++i) {
-    out.phases.push_back({.seconds = 5, .arrivals = 200, .failing = 0.03});
-    out.phases.push_back({.seconds = 5, .arrivals = 220, .slowness = 2.5 + 0.2 * (i % 3), .failing = 0.03});
+    out.phases.push_back({.seconds = 5, .arrival_rate = 200, .failure_rate = 0.03});
+    out.phases.push_back(
+        {.seconds = 5, .arrival_rate = 220, .slowdown = 2.5 + 0.2 * (i % 3), .failure_rate = 0.03});
   }
   return out;
 }
@@ -322,7 +330,7 @@
   };
 }
 
-// What the test is called by where its parameter is printed.
+// Prints a test parameter by the name of its scenario.
 // NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name.
 void PrintTo(const Expected& expected, std::ostream* out) { *out << expected.scenario.name; }
 
@@ -334,7 +342,7 @@
   return out.data();
 }
 
-void expect_coverage(const Scenario& scenario, const Record& record) {
+void expect_coverage(const Scenario& scenario, const DecisionRecord& record) {
   EXPECT_GE(record.events(), 35000U);
   EXPECT_GT(record.count_of<StartAttempt>(), 1000U);
   EXPECT_GT(record.count_of<Reject>(), 100U);
@@ -356,12 +364,12 @@
   }
 }
 
-TEST_P(DecisionDigest, IsThatOfTheNotedCommit) {
+TEST_P(DecisionDigest, MatchesTheExpectedDigests) {
   const Scenario& scenario = GetParam().scenario;
-  Record record;
+  DecisionRecord record;
   EventStream stream(scenario, [&](double now, std::size_t replica, const Balancer& balancer,
                                    const Event& event, const std::vector<Action>& actions) {
-    record.note(now, replica, balancer, event, actions);
+    record.add_event(now, replica, balancer, event, actions);
   });
   stream.run();
   expect_coverage(scenario, record);
@@ -370,8 +378,8 @@
   std::string text;
   for (const std::uint64_t value : actual) text += (text.empty() ? "" : ", ") + hex(value);
   for (std::size_t i = 0; i < kCheckpoints; ++i) {
-    const std::uint64_t wanted = GetParam().checkpoints.at(i);
-    ASSERT_EQ(hex(actual[i]), hex(wanted))
+    const std::uint64_t expected_digest = GetParam().checkpoints.at(i);
+    ASSERT_EQ(hex(actual[i]), hex(expected_digest))
         << scenario.name << ": first differs at checkpoint " << i << "; " << record.events() << " events, "
         << record.actions() << " actions; all digests: " << text;
   }
--- a/tests/unit/event_stream.h
+++ b/tests/unit/event_stream.h
@@ -1,6 +1,7 @@
-// Streams of events as replicas of the balancer meet them: drawn requests, and simulated servers that answer
-// the attempts. All is drawn from one seed with plain arithmetic, so that a stream is the same on every
-// platform for as long as the balancer decides the same.
+/// @file
+/// Random event streams for replicas of the balancer: simulated clients send requests, and simulated servers
+/// process the attempts. All randomness comes from one seed and plain arithmetic, so that a stream is the
+/// same on every platform as long as the decisions of the balancer are the same.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +16,14 @@
 
 namespace nettleyoke::stream {
 
-// splitmix64 with its own mapping to ranges: the standard distributions differ between libraries.
-class DrawSource {
+// splitmix64 with its own mapping to ranges, because the standard distributions differ between libraries.
+class StreamRandom {
  public:
-  explicit DrawSource(std::uint64_t seed) : state_(seed) {}
+  explicit StreamRandom(std::uint64_t seed) : state_(seed) {}
   std::uint64_t next();
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
   double between(double low, double high) { return low + (high - low) * unit(); }
-  bool chance(double part) { return unit() < part; }
+  bool chance(double probability) { return unit() < probability; }
   std::size_t below(std::size_t count) {
     return static_cast<std::size_t>(unit() * static_cast<double>(count));
   }
@@ -31,83 +32,85 @@
   std::uint64_t state_;
 };
 
-// A part of a stream in which load and servers behave alike.
+// A period of a stream with constant load and faults.
 struct Phase {
   double seconds = 10;
-  double arrivals = 100;         // requests a second, over all replicas that are driven
-  double slowness = 1;           // multiple of the usual service time, at all servers
-  double failing = 0.01;         // part of the attempts that end badly, at any server
-  bool has_sick_server = false;  // most attempts at one of the servers end badly
-  bool has_slow_server = false;  // one of the servers takes four times as long
-  bool discovery_fails = false;  // asking for the members fails, mostly
-  double flood = 0;              // part of the requests that belong to the last tenant of the settings
-  double odd = 0.02;             // part of the requests that are out of range or come twice
+  double arrival_rate = 100;        // requests/s, over all simulated replicas
+  double slowdown = 1;              // multiplies the service time of all servers
+  double failure_rate = 0.01;       // fraction of the attempts that fail, at all servers
+  bool has_failing_server = false;  // most attempts at the first listed server fail
+  bool has_slow_server = false;     // the second listed server takes four times as long
+  bool discovery_fails = false;     // most polls and watches of the membership fail
+  double last_tenant_share = 0;     // additional fraction of the requests that the last tenant sends
+  double anomaly_rate = 0.02;       // probability of an invalid or repeated request or event
 };
 
 struct Scenario {
   std::string name;
   std::uint64_t seed = 1;
   Settings settings;         // replica_index is set for each replica
-  Settings replacement;      // holds for the middle third of the stream
-  std::size_t replicas = 1;  // that are driven, out of settings.replica_count
+  Settings replacement;      // in force for the middle third of the stream
+  std::size_t replicas = 1;  // simulated ones, out of settings.replica_count
   int servers = 6, zones = 1, cells = 1;
-  double service_time = 0.08;  // s; of an idle server
-  double slots = 4;            // requests that a server works on without slowing down
-  double change_every = 2;     // s; between changes of membership
-  bool restarts = false;       // servers start in the stream, and start again
+  double service_time = 0.08;  // s, at an idle server
+  double slots = 4;            // requests that a server processes at once without slowing down
+  double change_every = 2;     // s between changes of the membership
+  bool restarts = false;       // servers start and restart during the stream
   std::vector<Phase> phases;
 };
 
-// Servers that slow down under load, fail, drain, leave and start again.
+// Servers that slow down under load, fail, drain, are removed and restart.
 class SimulatedServers {
  public:
-  struct End {
+  struct AttemptEnd {
     Outcome outcome = Outcome::kSucceeded;
     double elapsed = 0;
   };
-  SimulatedServers(const Scenario& scenario, DrawSource& draw);
-
-  // An attempt arrives at a server; returns how it will end if nobody gives it up before.
-  End begin(const std::string& address, double now, const Phase& phase, double work);
-  void finish(const std::string& address) { load_[address] -= 1; }
-  // Changes one server; the result names it and of some that did not change.
-  MembershipUpdate change(double now);
-  MembershipUpdate full() const { return {MembershipUpdate::Form::kFull, listed_}; }
-  // Of the server that will be listed next.
-  std::string next_address() const { return "server-" + std::to_string(created_); }
-  const std::string& any_address() { return listed_[draw_.below(listed_.size())].address; }
+  SimulatedServers(const Scenario& scenario, StreamRandom& random);
+
+  // Begins an attempt at a server. Returns its outcome and duration unless it times out or is cancelled
+  // first.
+  AttemptEnd begin_attempt(const std::string& address, double now, const Phase& phase, double work);
+  void finish_attempt(const std::string& address) { load_[address] -= 1; }
+  // Changes one random server. The update lists it and some unchanged servers.
+  MembershipUpdate change_server(double now);
+  MembershipUpdate full_list() const { return {MembershipUpdate::Form::kFull, listed_}; }
+  // The address that the next new server will have.
+  std::string next_server_address() const { return "server-" + std::to_string(created_); }
+  const std::string& random_address() { return listed_[random_.below(listed_.size())].address; }
 
  private:
-  Server fresh_server(double started);
+  Server new_server(double started);
   double capacity(const Server& server, double now) const;
-  Outcome bad_outcome();
+  Outcome random_failure();
 
   const Scenario& scenario_;
-  DrawSource& draw_;
+  StreamRandom& random_;
   std::vector<Server> listed_;
   std::map<std::string, double> load_;
   int created_ = 0;
 };
 
-// Drives the replicas of one scenario through all of its phases.
+// Runs the replicas of one scenario through all of its phases.
 class EventStream {
  public:
-  // Called after each event, with what the replica said to it.
+  // Called after each event with the actions of the replica.
   using Listener = std::function<void(double now, std::size_t replica, const Balancer& balancer,
                                       const Event& event, const std::vector<Action>& actions)>;
   EventStream(const Scenario& scenario, Listener listener);
   void run();
 
  private:
-  struct OpenAttempt {
+  struct SimulatedAttempt {
     std::string server;
-    double sent = 0;
+    double sent_at = 0;
     bool open = true;
   };
   struct Client {
     Request request;
-    std::vector<OpenAttempt> attempts;
-    bool streams = false, answered = false;
+    std::vector<SimulatedAttempt> attempts;
+    bool streams_response = false;
+    bool answered = false;  // its response or final answer has started
   };
   struct Task {
     double at = 0;
@@ -119,39 +122,42 @@
   };
 
   void schedule(double after, std::function<void()> work);
-  const Phase& phase() const;
+  const Phase& current_phase() const;
+  // Reports an event to a replica and executes its actions.
   void notify(std::size_t replica, const Event& event);
   void notify_all(const Event& event);
 
   void arrive();
   Request draw_request();
-  void come(std::size_t replica, const Request& request);
-  void schedule_departure(std::size_t replica, const Request& request);
-  void send_strays(std::size_t replica);
-
-  void obey(std::size_t replica, const StartAttempt& send);
-  void obey(std::size_t replica, const Reject& refuse);
-  void obey(std::size_t replica, const Fail& fail);
-  void obey(std::size_t replica, const CancelAttempt& cancel);
-  void obey(std::size_t replica, const SetTimer& timer);
-  void obey(std::size_t replica, const WatchMembership& watch);
-  void obey(std::size_t, const LogLine&) {}
-  void end(std::size_t replica, const std::string& id, int attempt, Outcome outcome);
-  void start_answer(std::size_t replica, const std::string& id, int attempt, double more);
-  OpenAttempt* open_attempt(std::size_t replica, const std::string& id, int attempt);
+  void send_request(std::size_t replica, const Request& request);
+  void schedule_cancellation(std::size_t replica, const Request& request);
+  void send_stray_events(std::size_t replica);
+
+  void execute(std::size_t replica, const StartAttempt& started);
+  void execute(std::size_t replica, const Reject& rejection);
+  void execute(std::size_t replica, const Fail& failure);
+  void execute(std::size_t replica, const CancelAttempt& cancel);
+  void execute(std::size_t replica, const SetTimer& timer);
+  void execute(std::size_t replica, const WatchMembership& watch);
+  void execute(std::size_t, const LogLine&) {}
+  void end_attempt(std::size_t replica, const std::string& id, int attempt, Outcome outcome);
+  void start_response(std::size_t replica, const std::string& id, int attempt, double more);
+  SimulatedAttempt* find_open_attempt(std::size_t replica, const std::string& id, int attempt);
 
   void change_membership();
-  void switch_server();
+  // Disables a server and schedules that it is enabled again.
+  void disable_server();
   void replace_settings(const Settings& settings);
 
   const Scenario& scenario_;
   Listener listener_;
-  DrawSource draw_;
+  StreamRandom random_;
   SimulatedServers servers_;
   std::vector<Balancer> balancers_;
-  std::vector<std::unordered_map<std::string, Client>> clients_;  // by replica; looked up, never walked
+  // By replica. The maps are never iterated, because their order differs between platforms.
+  std::vector<std::unordered_map<std::string, Client>> clients_;
   std::priority_queue<Task> tasks_;
-  double now_ = 0, length_ = 0;
+  double now_ = 0, duration_ = 0;  // s
   std::uint64_t sequence_ = 0, requests_ = 0;
 };
 
