--- a/tests/unit/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Timeouts of attempts, also over several tiers: the decision library alone, with its nodes and servers on
-/// one simulated clock.
+/// Attempt timeouts and deadlines, over one to seven tiers: the decision library with simulated nodes and
+/// servers on a simulated clock.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,22 +20,24 @@
 namespace nettleyoke {
 namespace {
 
-constexpr double kNormalLoad = 0.6;  // of what a tier can serve
-constexpr int kClientAttempts = 3;
-constexpr double kClientPauseSeconds = 0.02;  // between two attempts of a client
+constexpr double kNormalLoad = 0.6;           // fraction of a tier's capacity
+constexpr int kClientAttempts = 3;            // including the first
+constexpr double kClientPauseSeconds = 0.02;  // before a client retry
 
+// Tiers of servers, each of which sends requests to the next.
 struct Chain {
   int tiers = 3;
-  bool passes_deadline = true;
-  double deadline = 0.4;  // s
+  bool passes_deadline = true;  // to the next tier; otherwise each tier starts a new deadline
+  double deadline = 0.4;        // s
   double service_seconds = 0.02;
-  int servers = 6;  // of a tier
-  int cores = 2;    // of a server
-  int entry_nodes = 2;
-  double recovery_seconds = 20;
+  int servers = 6;               // per tier
+  int cores = 2;                 // per server
+  int entry_nodes = 2;           // nodes that clients send requests to
+  double recovery_seconds = 20;  // between the overload and the checks
 };
 
-// Tiers of servers, each with a node of its own to the next; work once begun is finished, also for nobody.
+// Each server sends requests to the next tier through its own node. A server finishes all work that it has
+// begun, even after the deadline.
 class SimulatedTiers {
  public:
   explicit SimulatedTiers(const Chain& chain) : chain_(chain), random_(7) {
@@ -48,8 +50,8 @@
     }
   }
 
-  // Sends requests at `load` of what a tier can serve, from now on for so long; returns the part that was
-  // answered in time.
+  // Sends requests for `seconds` at a fraction `load` of a tier's capacity. Returns the fraction that was
+  // served within these `seconds`.
   double offer(double load, double seconds) {
     const double rate = load * chain_.servers * chain_.cores / chain_.service_seconds;
     const double from = now_;
@@ -60,22 +62,23 @@
       schedule(at, [this, &served] { send_as_client(now_ + chain_.deadline, kClientAttempts, served); });
     }
     run_until(from + seconds);
-    const double in_time = served;
+    const double served_in_time = served;
+    // Pending callbacks refer to `served`, so they run before it goes out of scope.
     schedule(from + seconds + chain_.deadline, [] {});
     run_until(from + seconds + chain_.deadline);
-    return in_time / sent;
+    return served_in_time / sent;
   }
 
-  double slowdown = 1;            // of all servers
-  int late_answers = 0;           // final answers after their deadline
-  double last_tier_requests = 0;  // that the last tier's servers have begun
+  double slowdown = 1;            // multiplies the service time of all servers
+  int late_final_answers = 0;     // final answers after the deadline
+  double last_tier_requests = 0;  // requests that servers of the last tier have begun
 
  private:
-  using Answer = std::function<void(bool succeeded)>;
+  using AnswerCallback = std::function<void(bool succeeded)>;
   struct PendingRequest {
     double deadline = 0;
     int attempts = 0;
-    Answer answer;
+    AnswerCallback answer;
   };
   struct Node {
     int tier;
@@ -84,7 +87,7 @@
   };
   struct QueuedRequest {
     double deadline;
-    Answer answer;
+    AnswerCallback answer;
   };
   struct SimulatedServer {
     int tier;
@@ -118,7 +121,7 @@
 
   void schedule(double at, std::function<void()> run) { events_.push({at, ++order_, std::move(run)}); }
 
-  // A client retries after a pause, as long as its time lasts.
+  // Sends a request and, after a failure, up to `attempts` - 1 client retries before the deadline.
   void send_as_client(double deadline, int attempts, int& served) {
     Node& node = *entry_nodes_[random_.below(entry_nodes_.size())];
     handle_request(node, deadline, [this, deadline, attempts, &served](bool succeeded) {
@@ -140,7 +143,7 @@
     now_ = end;
   }
 
-  void handle_request(Node& node, double deadline, Answer answer) {
+  void handle_request(Node& node, double deadline, AnswerCallback answer) {
     const std::string id = std::to_string(++order_);
     node.requests[id] = {deadline, 0, std::move(answer)};
     execute(node, node.replica->at(now_, Request{id, 0, 0, deadline - now_, {}}));
@@ -151,7 +154,7 @@
     if (found == node.requests.end()) return;
     const PendingRequest finished = std::move(found->second);
     node.requests.erase(found);
-    late_answers += now_ > finished.deadline + 1e-9;
+    late_final_answers += now_ > finished.deadline + 1e-9;
     finished.answer(succeeded && now_ <= finished.deadline);
   }
 
@@ -218,9 +221,9 @@
 
 class TransientOverload : public testing::TestWithParam<Chain> {};
 
-// All servers turn slow for a while, and clients retry. The harm ends with its cause: what is learned from
-// the responses that were quick enough must not leave the tiers behind with less time than they need.
-TEST_P(TransientOverload, LeavesNoLastingHarm) {
+// All servers are slow for a while, and clients retry. The overload must end with its cause: timeouts learned
+// only from responses that arrived in time must not leave later tiers less time than they need.
+TEST_P(TransientOverload, EndsWithItsCause) {
   const Chain& chain = GetParam();
   SimulatedTiers tiers(chain);
   EXPECT_GT(tiers.offer(kNormalLoad, 10), 0.95);
@@ -232,7 +235,7 @@
   EXPECT_GT(tiers.offer(kNormalLoad, 10), 0.95);
   const double first_attempts = kNormalLoad * chain.servers * chain.cores / chain.service_seconds * 10;
   EXPECT_LT((tiers.last_tier_requests - requests_before) / first_attempts, 1.2);
-  EXPECT_EQ(tiers.late_answers, 0);
+  EXPECT_EQ(tiers.late_final_answers, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -242,7 +245,7 @@
                     Chain{.tiers = 3, .deadline = 0.2}, Chain{.tiers = 7, .deadline = 0.6},
                     Chain{.tiers = 7, .passes_deadline = false, .deadline = 2, .recovery_seconds = 40}));
 
-// A replica that has learned response times of 0.05 and 0.15 s.
+// A replica that has learned from response times of 0.05 and 0.15 s.
 struct TrainedReplica : ReplicaUnderTest {
   TrainedReplica() : ReplicaUnderTest(basic_settings()) {
     at(0, members(2));
@@ -252,12 +255,12 @@
       end_attempt("q" + std::to_string(i), Outcome::kSucceeded, 0, i % 2 == 0 ? 0.05 : 0.15);
     }
   }
-  std::vector<Action> request_with(const std::string& id, double time_left) {
+  std::vector<Action> request_with_time_left(const std::string& id, double time_left) {
     return at(now, Request{id, 0, 0, time_left, {}});
   }
 };
 
-TEST(AttemptDeadline, ServerGetsTheRemainingTimeAndNotTheAttemptTimeout) {
+TEST(AttemptDeadline, IsTheRemainingTimeAndNotTheAttemptTimeout) {
   TrainedReplica replica;
   const StartAttempt first = actions_of<StartAttempt>(replica.request("r")).at(0);
   EXPECT_LT(first.timeout, 0.6);
@@ -268,13 +271,13 @@
   EXPECT_NEAR(retry.deadline, 2 - first.timeout, 1e-9);
 }
 
-TEST(AttemptDeadline, TimeoutCutShortByTheClientDoesNotCountAgainstTheServer) {
+TEST(AttemptDeadline, TimeoutLimitedByTheClientDeadlineIsNoServerFailure) {
   TrainedReplica replica;
   const double before = actions_of<StartAttempt>(replica.request("before")).at(0).timeout;
   for (int i = 0; i < 40; ++i) {
     replica.now += 0.2;
     const std::string id = "h" + std::to_string(i);
-    ASSERT_EQ(actions_of<StartAttempt>(replica.request_with(id, 0.06)).size(), 1U);
+    ASSERT_EQ(actions_of<StartAttempt>(replica.request_with_time_left(id, 0.06)).size(), 1U);
     replica.now += 0.06;
     replica.end_attempt(id, Outcome::kTimedOut, 0, 0.06);
   }
@@ -282,25 +285,25 @@
   EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
 }
 
-TEST(AttemptDeadline, FullTimeoutCountsAgainstTheServer) {
+TEST(AttemptDeadline, FullAttemptTimeoutIsAServerFailure) {
   TrainedReplica replica;
   for (int i = 0; i < 20; ++i) {
     const std::string id = "h" + std::to_string(i);
-    replica.request_with(id, 0.4);
+    replica.request_with_time_left(id, 0.4);
     replica.now += 0.4;
     replica.end_attempt(id, Outcome::kTimedOut, 0, 0.4);
   }
   EXPECT_GT(replica.balancer.unavailable_servers(replica.now), 0U);
 }
 
-TEST(AttemptDeadline, RequestThatCannotBeAnsweredInTimeIsRejected) {
+TEST(AttemptDeadline, RequestWithTooLittleTimeLeftIsRejected) {
   TrainedReplica replica;
-  const auto late = replica.request_with("late", 0.03);
+  const auto late = replica.request_with_time_left("late", 0.03);
   EXPECT_TRUE(actions_of<StartAttempt>(late).empty());
   EXPECT_EQ(actions_of<Reject>(late).size(), 1U);
-  EXPECT_EQ(actions_of<StartAttempt>(replica.request_with("in time", 0.06)).size(), 1U);
-  replica.now += 10;  // servers may be quicker by now
-  EXPECT_EQ(actions_of<StartAttempt>(replica.request_with("later", 0.03)).size(), 1U);
+  EXPECT_EQ(actions_of<StartAttempt>(replica.request_with_time_left("in time", 0.06)).size(), 1U);
+  replica.now += 10;  // the servers may be faster by now
+  EXPECT_EQ(actions_of<StartAttempt>(replica.request_with_time_left("later", 0.03)).size(), 1U);
 }
 
 }  // namespace
--- a/tests/unit/fleet_slow_start_test.cpp
+++ b/tests/unit/fleet_slow_start_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// What all replicas together send to servers in slow start. Each replica knows its own traffic alone, so
-/// that only the sum shows whether the slow start holds: simulated here with 1 to 300 replicas against
-/// servers that queue.
+/// The load that all replicas together put on servers in slow start. Each replica knows only its own traffic,
+/// so only the total shows whether slow start protects a server. Simulates 1 to 300 replicas and servers with
+/// queues.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,25 +30,25 @@
 
 constexpr double kInitialCapacity = 0.3;
 constexpr double kSlowStartSeconds = 8;
-constexpr double kOverloadThreshold = 4;      // x what the server can do
-constexpr double kOverloadWindowSeconds = 2;  // in which it must not be reached
-constexpr double kUtilisation = 0.8;          // of what the servers can do, were all warm
+constexpr double kOverloadThreshold = 4;      // multiple of the server's capacity
+constexpr double kOverloadWindowSeconds = 2;  // no window of this length may reach it
+constexpr double kUtilisation = 0.8;          // of the capacity of all servers without slow start
 
 struct Scenario {
   const char* name = "";
   int replicas = 0;
   int servers = 0;
-  double rate = 0;                  // requests a second a replica, in the mean
-  double cold_part = 0.1;           // of the servers: they start at kColdStart
-  double notified_over = 0;         // s; the replicas are notified of it over this time
-  bool by_admin = false;            // the servers were disabled and are enabled again
-  bool half_just_started = false;   // each second replica has just started itself
-  double failing_part = 0;          // of the other servers: they refuse connects during the burst
-  double refusing_after_start = 0;  // s; the cold ones refuse connects so long after their start
+  double rate = 0;                      // mean requests/s per replica
+  double cold_fraction = 0.1;           // fraction of the servers that start at kColdStart
+  double notification_spread = 0;       // s; the replicas are notified of the start within this time
+  bool enabled_by_admin = false;        // the servers do not start but are disabled, then enabled
+  bool half_of_replicas_start = false;  // every second replica starts at kColdStart too
+  double failing_fraction = 0;          // fraction of the other servers that refuse connects during the burst
+  double refuses_for = 0;               // s after their start in which the cold servers refuse connects
   std::uint64_t seed = 1;
 };
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest looks for
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name.
 void PrintTo(const Scenario& scenario, std::ostream* out) {
   *out << scenario.name << " x " << scenario.replicas;
 }
@@ -59,11 +59,12 @@
       : scenario_(scenario), random_(scenario.seed), servers_(server_count()) {
     warm_capacity_ = scenario.replicas * scenario.rate / scenario.servers / kUtilisation;
     for (std::size_t replica = 0; replica < replica_count(); ++replica) {
-      rates_.push_back(random_.unit() < 1.0 / 6 ? 4 : 0.4);  // some get several times the mean
-      const double starts_at = scenario.half_just_started && replica % 2 == 1 ? kColdStart : kRunStart;
+      rates_.push_back(random_.unit() < 1.0 / 6 ? 4 : 0.4);  // some replicas get several times the mean rate
+      const double starts_at = scenario.half_of_replicas_start && replica % 2 == 1 ? kColdStart : kRunStart;
       schedule(starts_at, [this, replica] { start(replica); });
       if (starts_at < kColdStart) {
-        schedule(kColdStart + scenario.notified_over * random_.unit(), [this, replica] { notify(replica); });
+        schedule(kColdStart + scenario.notification_spread * random_.unit(),
+                 [this, replica] { notify(replica); });
       }
     }
     double sum = 0;
@@ -84,25 +85,25 @@
   }
 
   bool is_cold(std::size_t server) const {
-    return static_cast<double>(server) < scenario_.cold_part * scenario_.servers;
+    return static_cast<double>(server) < scenario_.cold_fraction * scenario_.servers;
   }
   const std::vector<double>& attempt_times(std::size_t server) const {
     return servers_[server].attempt_times;
   }
   std::size_t server_count() const { return static_cast<std::size_t>(scenario_.servers); }
 
-  // What a server in slow start can do, in requests a second.
+  // The capacity of a server in slow start, requests/s.
   double cold_capacity(double time) const {
     return warm_capacity_ *
            std::min(1.0, kInitialCapacity +
                              (1 - kInitialCapacity) * std::max(0.0, time - kColdStart) / kSlowStartSeconds);
   }
-  // The requests that come to a server in slow start where all get alike of what they can do. One that
-  // refused connects is ejected for its failures at first, as it should be.
-  double fair_requests() const {
-    const double refusing = scenario_.refusing_after_start > 0 ? scenario_.refusing_after_start + 2 : 0;
+  // The number of requests that a server in slow start gets if all servers are equally utilised. A server
+  // that refuses connects is ejected and gets none; this is correct, so that time is left out.
+  double expected_requests() const {
+    const double refusing = scenario_.refuses_for > 0 ? scenario_.refuses_for + 2 : 0;
     double sum = 0;
-    for (double time = kColdStart + std::max(scenario_.notified_over, refusing); time < kRunEnd;
+    for (double time = kColdStart + std::max(scenario_.notification_spread, refusing); time < kRunEnd;
          time += 0.01) {
       sum += 0.01 * kUtilisation * cold_capacity(time);
     }
@@ -132,9 +133,9 @@
     return now - std::log(1 - random_.unit()) / rate;
   }
 
-  MembershipUpdate list(bool with_cold_servers) const {
+  MembershipUpdate membership(bool with_cold_servers) const {
     MembershipUpdate update = members(scenario_.servers);
-    if (scenario_.by_admin) return update;
+    if (scenario_.enabled_by_admin) return update;
     for (std::size_t server = 0; server < server_count(); ++server) {
       if (is_cold(server)) update.servers[server].started = kColdStart;
     }
@@ -153,14 +154,15 @@
     settings.overload_threshold = kOverloadThreshold;
     replicas_.resize(replica_count());
     replicas_[replica] = std::make_unique<ReplicaUnderTest>(settings, scenario_.seed * 1000 + replica);
-    replicas_[replica]->at(now_, list(now_ >= kColdStart));
-    if (scenario_.by_admin) set_cold_servers_enabled(replica, false);
-    if (scenario_.by_admin && now_ >= kColdStart) set_cold_servers_enabled(replica, true);
+    replicas_[replica]->at(now_, membership(now_ >= kColdStart));
+    if (scenario_.enabled_by_admin) set_cold_servers_enabled(replica, false);
+    if (scenario_.enabled_by_admin && now_ >= kColdStart) set_cold_servers_enabled(replica, true);
   }
 
+  // Notifies a replica that the cold servers have started or are enabled again.
   void notify(std::size_t replica) {
-    if (scenario_.by_admin) return set_cold_servers_enabled(replica, true);
-    replicas_[replica]->at(now_, list(true));
+    if (scenario_.enabled_by_admin) return set_cold_servers_enabled(replica, true);
+    replicas_[replica]->at(now_, membership(true));
   }
 
   void set_cold_servers_enabled(std::size_t replica, bool enabled) {
@@ -173,10 +175,10 @@
     schedule(next_arrival(replica, now_), [this, replica] { arrive(replica); });
     if (!replicas_[replica]) return;
     replicas_[replica]->now = now_;
-    follow(replica, replicas_[replica]->request(std::to_string(++requests_)), 0);
+    execute(replica, replicas_[replica]->request(std::to_string(++requests_)), 0);
   }
 
-  void follow(std::size_t replica, const std::vector<Action>& actions, int attempt) {
+  void execute(std::size_t replica, const std::vector<Action>& actions, int attempt) {
     for (const StartAttempt& started : actions_of<StartAttempt>(actions)) {
       const auto server = static_cast<std::size_t>(std::stoul(started.server.substr(1)));
       const double response_at = serve(server);
@@ -190,18 +192,18 @@
       schedule(ends_at, [this, replica, attempt, outcome, started_at, id = started.id] {
         const bool is_done = outcome == Outcome::kSucceeded;
         const AttemptResult result{id, attempt, outcome, now_ - started_at, is_done};
-        follow(replica, replicas_[replica]->at(now_, result), attempt + 1);
+        execute(replica, replicas_[replica]->at(now_, result), attempt + 1);
       });
     }
   }
 
   bool refuses_connects(std::size_t server) const {
-    if (is_cold(server)) return now_ < kColdStart + scenario_.refusing_after_start;
-    return static_cast<double>(server % 4) < 4 * scenario_.failing_part && now_ > kBurstStart &&
+    if (is_cold(server)) return now_ < kColdStart + scenario_.refuses_for;
+    return static_cast<double>(server % 4) < 4 * scenario_.failing_fraction && now_ > kBurstStart &&
            now_ < kBurstEnd;
   }
 
-  // When the response comes, or below 0 where the server rejects the request.
+  // Time of the response, or a negative value if the server rejects the request.
   double serve(std::size_t number) {
     SimulatedServer& server = servers_[number];
     server.attempt_times.push_back(now_);
@@ -223,7 +225,8 @@
   std::uint64_t requests_ = 0;
 };
 
-// No window of requests may reach the overload threshold, but for the scatter of arrivals.
+// Expects that no window of requests reaches the overload threshold, except by random variation of the
+// arrivals.
 void expect_below_overload_threshold(const SimulatedFleet& fleet, std::size_t server) {
   const std::vector<double>& times = fleet.attempt_times(server);
   for (std::size_t first = 0, last = 0; first < times.size(); ++first) {
@@ -236,21 +239,22 @@
 
 class FleetSlowStart : public testing::TestWithParam<Scenario> {};
 
-TEST_P(FleetSlowStart, SumOfAllReplicasStaysInBoundsAndLeavesNoServerIdle) {
+TEST_P(FleetSlowStart, TotalLoadStaysBelowTheOverloadThresholdAndNoServerIsIdle) {
   SimulatedFleet fleet(GetParam());
   fleet.run();
   double requests = 0;
-  double fair_requests = 0;
+  double expected_requests = 0;
   for (std::size_t server = 0; server < fleet.server_count() && fleet.is_cold(server); ++server) {
     expect_below_overload_threshold(fleet, server);
     if (HasFailure()) return;
     const auto requests_of_server = static_cast<double>(fleet.attempt_times(server).size());
-    EXPECT_GE(requests_of_server, fleet.fair_requests() / 4 - 2 * std::sqrt(fleet.fair_requests() / 4))
+    EXPECT_GE(requests_of_server,
+              fleet.expected_requests() / 4 - 2 * std::sqrt(fleet.expected_requests() / 4))
         << "server " << server;
     requests += requests_of_server;
-    fair_requests += fleet.fair_requests();
+    expected_requests += fleet.expected_requests();
   }
-  EXPECT_GE(requests, 0.6 * fair_requests);
+  EXPECT_GE(requests, 0.6 * expected_requests);
 }
 
 std::vector<Scenario> scenarios() {
@@ -265,15 +269,15 @@
       scenario.seed = all.size() + 1;
       all.push_back(scenario);
     };
-    add({.name = "One"});
-    add({.name = "SixInTen", .cold_part = 0.6});
-    add({.name = "All", .cold_part = 1});
-    add({.name = "EnabledByAdmin", .by_admin = true});
-    add({.name = "NotifiedLate", .cold_part = 0.3, .notified_over = 1});
-    add({.name = "HalfOfTheReplicasJustStarted", .cold_part = 0.3, .half_just_started = true});
-    add({.name = "SomeOthersFail", .cold_part = 0.3, .failing_part = 0.25});
-    add({.name = "RefusingAfterStart", .cold_part = 0.3, .refusing_after_start = 3});
-    add({.name = "AllOthersFail", .cold_part = 0.3, .failing_part = 1});
+    add({.name = "OneInTenCold"});
+    add({.name = "SixInTenCold", .cold_fraction = 0.6});
+    add({.name = "AllCold", .cold_fraction = 1});
+    add({.name = "EnabledByAdmin", .enabled_by_admin = true});
+    add({.name = "NotifiedLate", .cold_fraction = 0.3, .notification_spread = 1});
+    add({.name = "HalfOfTheReplicasJustStarted", .cold_fraction = 0.3, .half_of_replicas_start = true});
+    add({.name = "SomeOtherServersFail", .cold_fraction = 0.3, .failing_fraction = 0.25});
+    add({.name = "RefusingAfterStart", .cold_fraction = 0.3, .refuses_for = 3});
+    add({.name = "AllOtherServersFail", .cold_fraction = 0.3, .failing_fraction = 1});
   }
   return all;
 }
@@ -283,8 +287,8 @@
          std::to_string(test.param.servers);
 });
 
-// The requests a second that go to four servers at the beginning of a very long slow start.
-double served_rate(const std::string& rules) {
+// The fraction of 50 requests/s that is sent to four servers at the beginning of a very long slow start.
+double sent_fraction(const std::string& rules) {
   rapidjson::Document document;
   document.Parse(
       (R"({"position":0,"peersTotal":1,"bounds":{},"categories":[{"aim":2,"giveUp":6,"effect":"safe"}],
@@ -305,15 +309,15 @@
   return started / 2000;
 }
 
-// A setting for servers that fall sooner than most.
-TEST(SlowStartBudget, LowOverloadThresholdHalvesIt) {
-  const double usual = served_rate("");
-  EXPECT_GT(usual, 0.2);  // its rate is learned first
-  EXPECT_LT(usual, 0.33);
-  EXPECT_EQ(served_rate(R"(,"tipMultiple":4)"), usual);
-  EXPECT_NEAR(served_rate(R"(,"tipMultiple":1)"), usual / 2, 0.03);
-  EXPECT_THROW(served_rate(R"(,"tipMultiple":-1)"), std::invalid_argument);
-  EXPECT_THROW(served_rate(R"(,"tipMultiple":"4")"), json::BadMessage);
+// A low overload threshold protects servers that fail at a lower overload than most.
+TEST(SlowStartBudget, IsHalvedByALowOverloadThreshold) {
+  const double by_default = sent_fraction("");
+  EXPECT_GT(by_default, 0.2);  // below 0.3, as the admitted rate is learned first
+  EXPECT_LT(by_default, 0.33);
+  EXPECT_EQ(sent_fraction(R"(,"tipMultiple":4)"), by_default);
+  EXPECT_NEAR(sent_fraction(R"(,"tipMultiple":1)"), by_default / 2, 0.03);
+  EXPECT_THROW(sent_fraction(R"(,"tipMultiple":-1)"), std::invalid_argument);
+  EXPECT_THROW(sent_fraction(R"(,"tipMultiple":"4")"), json::BadMessage);
 }
 
 }  // namespace
--- a/tests/unit/property_test.cpp
+++ b/tests/unit/property_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The rules under any events: long seeded sequences over many settings, watched by a checker that is written
-/// from the wording of the rules and shares nothing with the decision library.
+/// The rules under random events: long seeded event sequences with many settings. The checker is written from
+/// the wording of the rules and shares no code with the decision library.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,33 +20,33 @@
   std::string server;
   double started_at = 0;
   bool in_flight = true;
-  bool may_have_run = true;  // until an outcome proves that it never did
+  bool may_have_run = true;  // false once an outcome proves that it did not
 };
 
 struct TrackedRequest {
   std::size_t request_class = 0;
-  double due = 0;  // when the client gives up
+  double client_deadline = 0;  // when the client times out, s
   std::vector<SentAttempt> attempts;
-  bool concluded = false;  // the request has its final answer, or nobody waits for one
+  bool is_concluded = false;  // has its final answer, or its client has disconnected
 };
 
-// A host of one replica: it knows all events that it reported and all actions that the replica asked for.
+// The host of one replica. Tracks all events that it reports and all actions that the replica returns.
 class RuleChecker {
  public:
   RuleChecker(const Settings& settings, std::uint64_t seed)
       : settings_(settings), replica_(settings, seed), random_(seed) {}
 
-  void run(int steps) {
-    update({MembershipUpdate::Form::kFull, some_servers()});
-    for (int i = 0; i < steps && !testing::Test::HasFailure(); ++i) {
-      now_ += draw(20) == 0 ? 5.0 * draw_unit() : 0.02 * draw_unit();  // mostly steady, sometimes a jump
-      expire();
-      step(i);
+  void run(int events) {
+    update({MembershipUpdate::Form::kFull, random_servers()});
+    for (int i = 0; i < events && !testing::Test::HasFailure(); ++i) {
+      now_ += draw(20) == 0 ? 5.0 * draw_unit() : 0.02 * draw_unit();  // mostly small steps, sometimes a jump
+      report_timeouts();
+      handle_random_event(i);
     }
     now_ += 100;
-    expire();
+    report_timeouts();
     for (const auto& [id, tracked] : requests_) {
-      EXPECT_TRUE(tracked.concluded) << id << " never got a final answer";
+      EXPECT_TRUE(tracked.is_concluded) << id << " has no final answer";
     }
   }
 
@@ -54,7 +54,7 @@
   int draw(int count) { return static_cast<int>(random_() % static_cast<unsigned>(count)); }
   double draw_unit() { return static_cast<double>(draw(1000)) / 1000; }
 
-  std::vector<Server> some_servers() {
+  std::vector<Server> random_servers() {
     std::vector<Server> servers;
     for (int i = 0; i < 12; ++i) {
       if (draw(4) == 0) continue;
@@ -67,18 +67,18 @@
   }
 
   void update(const MembershipUpdate& update) {
-    if (update.form == MembershipUpdate::Form::kFull) usable_.clear();
+    if (update.form == MembershipUpdate::Form::kFull) ready_.clear();
     for (const Server& server : update.servers) {
       listed_[server.address] = server;
-      usable_[server.address] = server.state == ServerState::kReady;
+      ready_[server.address] = server.state == ServerState::kReady;
     }
-    check(replica_.at(now_, update));
+    check_actions(replica_.at(now_, update));
   }
 
-  // Ends the attempts of requests that run out of time, as a host would, with a timeout each.
-  void expire() {
+  // Reports a timeout for each attempt in flight whose client has timed out, as a host does.
+  void report_timeouts() {
     for (auto& [id, tracked] : requests_) {
-      if (now_ < tracked.due) continue;
+      if (now_ < tracked.client_deadline) continue;
       for (std::size_t i = 0; i < tracked.attempts.size(); ++i) {
         if (tracked.attempts[i].in_flight) end_attempt(id, tracked, i, Outcome::kTimedOut);
       }
@@ -89,27 +89,28 @@
     SentAttempt& sent = tracked.attempts[attempt];
     sent.in_flight = false;
     sent.may_have_run = !proves_unrun(outcome);
-    if (outcome == Outcome::kSucceeded) tracked.concluded = true;
+    if (outcome == Outcome::kSucceeded) tracked.is_concluded = true;
     const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.started_at,
-                               tracked.concluded};
-    check(replica_.at(now_, result));
+                               tracked.is_concluded};
+    check_actions(replica_.at(now_, result));
     if (draw(8) != 0) return;
     EXPECT_TRUE(replica_.at(now_, result).empty()) << "the same outcome reported twice";
   }
 
-  void step(int i) {
+  void handle_random_event(int i) {
     const int event = draw(10);
     if (event < 4) {
       send_request("r" + std::to_string(i));
     } else if (event < 8) {
       end_random_attempt();
     } else if (event == 8 && !requests_.empty()) {
-      cancel_from("r" + std::to_string(draw(std::max(1, i))));
+      cancel_first_from("r" + std::to_string(draw(std::max(1, i))));
     } else if (draw(4) == 0) {
       const int form = draw(3);
-      update({static_cast<MembershipUpdate::Form>(form), form == 2 ? std::vector<Server>() : some_servers()});
+      update(
+          {static_cast<MembershipUpdate::Form>(form), form == 2 ? std::vector<Server>() : random_servers()});
     } else {
-      check(replica_.at(now_, TimerFired{static_cast<std::uint64_t>(draw(3))}));
+      check_actions(replica_.at(now_, TimerFired{static_cast<std::uint64_t>(draw(3))}));
     }
   }
 
@@ -117,22 +118,23 @@
     TrackedRequest& tracked = requests_[id];
     tracked.request_class = static_cast<std::size_t>(draw(static_cast<int>(settings_.classes.size())));
     const double time_left = draw(30) == 0 ? 0 : 6 * draw_unit();
-    tracked.due = now_ + time_left;
+    tracked.client_deadline = now_ + time_left;
     Request request;
     request.id = id;
     request.request_class = tracked.request_class;
     request.tenant = static_cast<std::size_t>(draw(3));
     request.time_left = time_left;
-    check(replica_.at(now_, request));
-    EXPECT_TRUE(tracked.concluded || any_in_flight(tracked)) << id << " is kept with nothing in flight";
+    check_actions(replica_.at(now_, request));
+    EXPECT_TRUE(tracked.is_concluded || any_in_flight(tracked))
+        << id << " has neither a final answer nor an attempt in flight";
   }
 
-  // Disconnects the client of the first request from that id on, unless the request is concluded.
-  void cancel_from(const std::string& id) {
+  // Disconnects the client of the first request whose id is not below `id`, unless it is concluded.
+  void cancel_first_from(const std::string& id) {
     const auto found = requests_.lower_bound(id);
-    if (found == requests_.end() || found->second.concluded) return;
-    found->second.concluded = true;
-    check(replica_.at(now_, RequestCancelled{found->first}));
+    if (found == requests_.end() || found->second.is_concluded) return;
+    found->second.is_concluded = true;
+    check_actions(replica_.at(now_, RequestCancelled{found->first}));
   }
 
   void end_random_attempt() {
@@ -156,11 +158,11 @@
     return false;
   }
 
-  void check(const std::vector<Action>& actions) {
+  void check_actions(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* started = std::get_if<StartAttempt>(&action)) check_attempt(*started);
-      if (const auto* rejection = std::get_if<Reject>(&action)) check_final(rejection->id, true);
-      if (const auto* failure = std::get_if<Fail>(&action)) check_final(failure->id, false);
+      if (const auto* rejection = std::get_if<Reject>(&action)) check_final_answer(rejection->id, true);
+      if (const auto* failure = std::get_if<Fail>(&action)) check_final_answer(failure->id, false);
       if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         EXPECT_TRUE(settings_.can_cancel);
         EXPECT_LT(static_cast<std::size_t>(cancel->attempt), requests_[cancel->id].attempts.size());
@@ -168,25 +170,26 @@
     }
   }
 
-  void check_final(const std::string& id, bool is_rejected) {
+  void check_final_answer(const std::string& id, bool is_rejected) {
     TrackedRequest& tracked = requests_.at(id);
-    EXPECT_FALSE(tracked.concluded) << id << " got two final answers";
-    tracked.concluded = true;
+    EXPECT_FALSE(tracked.is_concluded) << id << " has two final answers";
+    tracked.is_concluded = true;
     const RequestClass& request_class = settings_.classes[tracked.request_class];
-    const bool harmless = request_class.idempotency == Idempotency::kIdempotent ||
-                          (request_class.idempotency == Idempotency::kIdempotencyKey &&
-                           request_class.dedup_scope == DedupScope::kAll);
-    if (!is_rejected || harmless) return;
+    const bool client_retry_is_safe = request_class.idempotency == Idempotency::kIdempotent ||
+                                      (request_class.idempotency == Idempotency::kIdempotencyKey &&
+                                       request_class.dedup_scope == DedupScope::kAll);
+    if (!is_rejected || client_retry_is_safe) return;
     for (const SentAttempt& sent : tracked.attempts)
-      EXPECT_FALSE(sent.may_have_run) << id << " rejected, but it may have run";
+      EXPECT_FALSE(sent.may_have_run) << id << " is rejected, but may have run";
   }
 
   void check_attempt(const StartAttempt& started) {
     TrackedRequest& tracked = requests_.at(started.id);
-    EXPECT_FALSE(tracked.concluded) << started.id << " sent after its final answer";
-    EXPECT_TRUE(usable_[started.server]) << started.server << " is draining, removed or was never listed";
+    EXPECT_FALSE(tracked.is_concluded) << started.id << " is sent after its final answer";
+    EXPECT_TRUE(ready_[started.server]) << started.server << " is draining, removed or was never listed";
     EXPECT_GT(started.timeout, 0);
-    EXPECT_LE(now_ + started.timeout, tracked.due + 1e-9) << "no time would be left for a final answer";
+    EXPECT_LE(now_ + started.timeout, tracked.client_deadline + 1e-9)
+        << "the attempt may end after the client has timed out";
     EXPECT_LT(tracked.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
     const RequestClass& request_class = settings_.classes[tracked.request_class];
     for (const SentAttempt& before : tracked.attempts) {
@@ -195,13 +198,13 @@
       if (request_class.idempotency == Idempotency::kIdempotent || !before.may_have_run) continue;
       EXPECT_NE(request_class.idempotency, Idempotency::kNonIdempotent) << started.id << " may run twice";
       EXPECT_LE(now_, before.started_at + request_class.dedup_window)
-          << started.id << " after its dedup window";
+          << started.id << " is retried after its dedup window";
       const Server& earlier = listed_[before.server];
       const Server& next = listed_[started.server];
       EXPECT_TRUE(request_class.dedup_scope != DedupScope::kZone || earlier.zone == next.zone)
-          << "another zone may repeat it";
+          << "another zone does not recognise the retry and may run it again";
       EXPECT_TRUE(request_class.dedup_scope != DedupScope::kCell || earlier.cell == next.cell)
-          << "another cell may repeat it";
+          << "another cell does not recognise the retry and may run it again";
     }
     tracked.attempts.push_back({started.server, now_});
   }
@@ -212,7 +215,7 @@
   double now_ = 50;
   std::map<std::string, TrackedRequest> requests_;
   std::map<std::string, Server> listed_;
-  std::map<std::string, bool> usable_;
+  std::map<std::string, bool> ready_;
 };
 
 TEST(RuleInvariants, HoldUnderRandomEvents) {
--- a/tests/unit/retry_budget_test.cpp
+++ b/tests/unit/retry_budget_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Retries: what pays for them at one replica, and what they add up to over replicas and tiers.
+/// The retry budget: which retries it limits at one replica, and the total load that retries add over
+/// replicas and tiers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,21 +19,21 @@
   return settings;
 }
 
-// Spends what a replica has saved up for retries: errors, each retried until there is nothing left.
-void spend_retries(ReplicaUnderTest& replica) {
+// Exhausts a replica's retry budget: each request fails and is retried until no retry is left.
+void exhaust_retry_budget(ReplicaUnderTest& replica) {
   for (int i = 0; i < 12; ++i) {
     const std::string id = "spend" + std::to_string(i);
     std::vector<StartAttempt> sent = actions_of<StartAttempt>(replica.request(id));
     for (int attempt = 0; !sent.empty(); ++attempt)
       sent = actions_of<StartAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
-    replica.now += 30;  // no server is ejected for it any more
+    replica.now += 30;  // until the servers that failed are no longer ejected
   }
 }
 
-TEST(RetryBudget, RetryOfARejectionIsPaidFor) {
+TEST(RetryBudget, RetryOfARejectedAttemptNeedsBudget) {
   ReplicaUnderTest replica(six_attempts());
   replica.at(0, members(8));
-  spend_retries(replica);
+  exhaust_retry_budget(replica);
   replica.request("a");
   EXPECT_TRUE(actions_of<StartAttempt>(replica.end_attempt("a", Outcome::kRejected)).empty());
 }
@@ -47,24 +48,25 @@
   EXPECT_EQ(actions_of<Reject>(end).size(), 1U);
 }
 
-// Replicas must not all connect to a server which is about to come back, as often as they may.
-TEST(RetryBudget, BoundsConnectsWhereAllServersRefuseThem) {
+// If each replica retried every failed connect, all replicas together would flood a server that is about to
+// recover.
+TEST(RetryBudget, BoundsConnectsWhileAllServersRefuseThem) {
   ReplicaUnderTest replica(six_attempts());
   replica.at(0, members(4));
-  int connects = 0, calls = 0;
-  for (; calls < 1000; ++calls, replica.now += 0.01) {
-    const std::string id = std::to_string(calls);
+  int connects = 0, requests = 0;
+  for (; requests < 1000; ++requests, replica.now += 0.01) {
+    const std::string id = std::to_string(requests);
     std::vector<StartAttempt> sent = actions_of<StartAttempt>(replica.request(id));
     for (int attempt = 0; !sent.empty(); ++attempt, ++connects)
       sent = actions_of<StartAttempt>(replica.end_attempt(id, Outcome::kConnectFailed, attempt));
   }
-  EXPECT_LE(connects, calls * 1.1 + 6);
+  EXPECT_LE(connects, requests * 1.1 + 6);
 }
 
-// Tiers of servers with a replica before each: a request to a server of one tier is a request by the replica
-// beside it to the next one.
+// Tiers of servers. Each server sends to the next tier through its own replica of the balancer, so that a
+// request to a server leads to a request of that replica.
 struct TieredFleet {
-  static constexpr int kWidth = 8;  // replicas that send to a tier, and servers in it
+  static constexpr int kWidth = 8;  // number of replicas that send to a tier, and of servers in the tier
 
   explicit TieredFleet(int tiers)
       : requests_by_tier(static_cast<std::size_t>(tiers)), connects_by_tier(requests_by_tier) {
@@ -80,10 +82,10 @@
     }
   }
 
-  Outcome call(std::size_t tier, std::size_t index) {
+  Outcome handle_request(std::size_t tier, std::size_t index) {
     ReplicaUnderTest& replica = replicas[tier][index];
-    const std::string id = std::to_string(++calls);
-    if (calls > 100000) return Outcome::kServerError;  // far over any bound: no need to see the rest
+    const std::string id = std::to_string(++requests);
+    if (requests > 100000) return Outcome::kServerError;  // far above any bound: the test fails anyway
     replica.now = now;
     std::vector<StartAttempt> sent = actions_of<StartAttempt>(replica.request(id));
     for (int attempt = 0; !sent.empty(); ++attempt) {
@@ -92,8 +94,8 @@
       if (outcome != Outcome::kConnectFailed) {
         ++requests_by_tier[tier];
         const auto next_replica = static_cast<std::size_t>(sent[0].server[1] - '0');
-        // What a tier behind has given up comes back as an error, whatever it was there.
-        if (tier + 1 < replicas.size() && call(tier + 1, next_replica) != Outcome::kSucceeded)
+        // A failed request of the next tier is a server error for this one, whatever the failure was.
+        if (tier + 1 < replicas.size() && handle_request(tier + 1, next_replica) != Outcome::kSucceeded)
           outcome = Outcome::kServerError;
       }
       sent = actions_of<StartAttempt>(replica.end_attempt(id, outcome, attempt, 0.01));
@@ -102,31 +104,31 @@
     return Outcome::kServerError;
   }
 
-  // Sends requests from outside, a hundred a second; returns how many were served.
+  // Sends `count` client requests to the first tier, 100 per second. Returns how many were served.
   int run(int count) {
     int served = 0;
     for (int i = 0; i < count; ++i, now += 0.01)
-      served += call(0, static_cast<std::size_t>(i % kWidth)) == Outcome::kSucceeded ? 1 : 0;
+      served += handle_request(0, static_cast<std::size_t>(i % kWidth)) == Outcome::kSucceeded ? 1 : 0;
     return served;
   }
 
-  // How many requests the last tier may get for `count` calls: each tier adds a tenth, and what each replica
-  // saved.
+  // The most requests that the last tier may get for `count` client requests: each tier adds a tenth, and
+  // each replica the retries that its budget has saved.
   double bound(int count) const {
-    double most = count;
-    for (std::size_t tier = 0; tier < replicas.size(); ++tier) most = most * 1.1 + kWidth * 6;
-    return most;
+    double limit = count;
+    for (std::size_t tier = 0; tier < replicas.size(); ++tier) limit = limit * 1.1 + kWidth * 6;
+    return limit;
   }
 
   std::vector<std::vector<ReplicaUnderTest>> replicas;  // by tier
-  std::vector<int> requests_by_tier,
-      connects_by_tier;  // requests that reached a server, and attempts to reach one
+  std::vector<int> requests_by_tier;                    // requests that reached a server
+  std::vector<int> connects_by_tier;                    // attempts to connect, also failed ones
   std::function<Outcome()> last_tier_outcome = [] { return Outcome::kSucceeded; };
   double now = 0;
-  int calls = 0;
+  int requests = 0;
 };
 
-// Tiers that each retry what the one behind has given up would have an overload feed itself.
+// If each tier retried every failure of the next one, retries would multiply and keep up the overload.
 TEST(RetryBudget, BoundsTheLoadOfTheLastTierUnderOverload) {
   for (const int tiers : {1, 3, 7}) {
     for (const Outcome bad :
@@ -142,7 +144,7 @@
       EXPECT_LE(fleet.connects_by_tier.back(), fleet.bound(count));
       fleet.last_tier_outcome = [] { return Outcome::kSucceeded; };
       fleet.now += 60;
-      EXPECT_EQ(fleet.run(count), count) << "the overload is over, and all is as before";
+      EXPECT_EQ(fleet.run(count), count) << "all requests are served after the overload";
     }
   }
 }
--- a/tests/unit/rules_test.cpp
+++ b/tests/unit/rules_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The rules that no decision may break, each on its own: idempotency and one final answer.
+/// The rules for all decisions, tested one by one: idempotency and a single final answer.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -20,13 +20,14 @@
                                  Outcome::kConnectFailed, Outcome::kReset,    Outcome::kCancelled,
                                  Outcome::kNotSent,       Outcome::kUnknown};
 
-MembershipUpdate two_cells() {
+// Eight servers in two zones and four cells.
+MembershipUpdate servers_in_zones_and_cells() {
   MembershipUpdate update;
   for (int i = 0; i < 8; ++i) update.servers.push_back(server(i, i % 2, i / 2));
   return update;
 }
 
-// One run of the retry matrix: a request whose first attempt fails in one way and whose retries can't
+// One case of the retry matrix: the first attempt of a request has a given failure, and its retries fail to
 // connect.
 class RetryCase {
  public:
@@ -34,8 +35,8 @@
       : idempotency_(idempotency),
         scope_(scope),
         replica_(basic_settings(class_of(idempotency, scope)), seed) {
-    replica_.at(0, two_cells());
-    for (const Server& listed : two_cells().servers) servers_[listed.address] = listed;
+    replica_.at(0, servers_in_zones_and_cells());
+    for (const Server& listed : servers_in_zones_and_cells().servers) servers_[listed.address] = listed;
   }
 
   void run(Outcome first_outcome) {
@@ -57,7 +58,7 @@
  private:
   bool has_key() const { return idempotency_ == Idempotency::kIdempotencyKey; }
 
-  // What may have run may only be sent again where the server recognises it.
+  // A request that may have run may be retried only at a server that recognises the retry.
   void check_retry(const Server& server) const {
     if (!may_have_run_at_) return;
     EXPECT_NE(idempotency_, Idempotency::kNonIdempotent);
@@ -69,7 +70,7 @@
     }
   }
 
-  // What may have run may only be rejected where a client's retry is harmless.
+  // A request that may have run may be rejected only if a client retry is harmless.
   void check_final_answer(const std::vector<Action>& actions) const {
     EXPECT_EQ(final_answers(actions), 1U);
     if (actions_of<Reject>(actions).empty() || !may_have_run_at_ || idempotency_ == Idempotency::kIdempotent)
@@ -84,14 +85,16 @@
   std::optional<Server> may_have_run_at_;
 };
 
-// Every idempotency and scope against every failure: what may be retried, where, and what may be rejected.
+// All combinations of idempotency, dedup scope and failure: which requests may be retried, where, and which
+// may be rejected.
 TEST(Idempotency, RetriesAndRejectionsFollowTheMatrix) {
-  const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kAll},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kZone},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kCell},
-                                                      {Idempotency::kNonIdempotent, DedupScope::kCell}};
-  for (const auto& [idempotency, scope] : kinds) {
+  const std::pair<Idempotency, DedupScope> idempotency_rules[] = {
+      {Idempotency::kIdempotent, DedupScope::kCell},
+      {Idempotency::kIdempotencyKey, DedupScope::kAll},
+      {Idempotency::kIdempotencyKey, DedupScope::kZone},
+      {Idempotency::kIdempotencyKey, DedupScope::kCell},
+      {Idempotency::kNonIdempotent, DedupScope::kCell}};
+  for (const auto& [idempotency, scope] : idempotency_rules) {
     for (const Outcome first_outcome : kFailures) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) RetryCase(idempotency, scope, seed).run(first_outcome);
     }
@@ -108,8 +111,8 @@
   EXPECT_TRUE(actions_of<StartAttempt>(replica.end_attempt("r", Outcome::kServerError)).empty());
 }
 
-// Orders in which an outcome, the deadline and the client's disconnect can meet: one final answer, none
-// after.
+// An attempt's failure before and after the client's disconnect: one final answer, or none once the client
+// has disconnected.
 TEST(FinalAnswer, IsGivenOnceInEveryOrderOfEvents) {
   for (const Outcome outcome : kFailures) {
     for (const bool disconnected_first : {false, true}) {
@@ -132,7 +135,7 @@
         EXPECT_TRUE(replica.at(1, RequestCancelled{"r"}).empty());
       }
       EXPECT_TRUE(actions_of<StartAttempt>(actions).empty());
-      EXPECT_TRUE(replica.end_attempt("r", outcome).empty()) << "an outcome reported twice";
+      EXPECT_TRUE(replica.end_attempt("r", outcome).empty()) << "the same outcome reported twice";
     }
   }
 }
@@ -159,9 +162,9 @@
   EXPECT_GT(attempts[0].timeout, 0);
 }
 
-TEST(FinalAnswer, RequestWithoutServersIsRejected) {
-  ReplicaUnderTest nothing_known(basic_settings());
-  EXPECT_EQ(actions_of<Reject>(nothing_known.request("a")).size(), 1U);
+TEST(FinalAnswer, IsARejectionWithoutReadyServers) {
+  ReplicaUnderTest without_servers(basic_settings());
+  EXPECT_EQ(actions_of<Reject>(without_servers.request("a")).size(), 1U);
   ReplicaUnderTest draining(basic_settings());
   MembershipUpdate update = members(3);
   for (Server& s : update.servers) s.state = ServerState::kDraining;
@@ -169,7 +172,7 @@
   EXPECT_EQ(actions_of<Reject>(draining.request("a")).size(), 1U);
 }
 
-TEST(FinalAnswer, AttemptsEndAtTheMaximum) {
+TEST(FinalAnswer, IsGivenAfterTheMaximumNumberOfAttempts) {
   Settings settings = basic_settings();
   settings.max_attempts = 3;
   ReplicaUnderTest replica(settings);
--- a/tests/unit/server_admin_state_test.cpp
+++ b/tests/unit/server_admin_state_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Servers that operators disable and enable again, and servers that count as unavailable.
+/// Servers that an operator disables and enables again, and the count of unavailable servers.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,11 +10,12 @@
 namespace nettleyoke {
 namespace {
 
-// The servers that `calls` requests go to, each answered at once.
-std::multiset<std::string> used(ReplicaUnderTest& replica, int calls, const std::string& tag,
-                                double step = 0.01) {
+// Sends `requests` requests, one each `step` seconds, and lets each attempt succeed. Returns the server of
+// each attempt.
+std::multiset<std::string> servers_used(ReplicaUnderTest& replica, int requests, const std::string& tag,
+                                        double step = 0.01) {
   std::multiset<std::string> servers;
-  for (int i = 0; i < calls; ++i) {
+  for (int i = 0; i < requests; ++i) {
     replica.now += step;
     const std::string id = tag + std::to_string(i);
     for (const StartAttempt& attempt : actions_of<StartAttempt>(replica.request(id))) {
@@ -25,23 +26,23 @@
   return servers;
 }
 
-TEST(ServerAdminState, DisabledServerGetsNoRequestWhateverTheListSays) {
+TEST(ServerAdminState, DisabledServerGetsNoRequestWhateverDiscoveryReports) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(3));
-  EXPECT_TRUE(used(replica, 100, "before").contains("s1"));
+  EXPECT_TRUE(servers_used(replica, 100, "before").contains("s1"));
   replica.at(replica.now, ServerAdminStateChanged{"s1", false});
-  EXPECT_FALSE(used(replica, 100, "out").contains("s1"));
-  replica.at(replica.now, members(3));  // the complete list again
-  EXPECT_FALSE(used(replica, 100, "listed").contains("s1"));
+  EXPECT_FALSE(servers_used(replica, 100, "out").contains("s1"));
+  replica.at(replica.now, members(3));  // the full list again
+  EXPECT_FALSE(servers_used(replica, 100, "listed").contains("s1"));
   MembershipUpdate change{MembershipUpdate::Form::kChanges, {server(1)}};
   change.servers[0].state = ServerState::kRemoved;
   replica.at(replica.now, change);
   change.servers[0].state = ServerState::kReady;
-  change.servers[0].started = replica.now;  // it comes back as another process
+  change.servers[0].started = replica.now;  // it is listed again as a new process
   replica.at(replica.now, change);
-  const auto after = used(replica, 100, "again");
+  const auto after = servers_used(replica, 100, "again");
   EXPECT_FALSE(after.contains("s1"));
-  EXPECT_EQ(after.size(), 100U) << "the others go on serving";
+  EXPECT_EQ(after.size(), 100U) << "the other servers serve all requests";
 }
 
 TEST(ServerAdminState, EnablingOnceUndoesDisablingTwice) {
@@ -52,47 +53,47 @@
   EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 1U);
   replica.at(replica.now, ServerAdminStateChanged{"s1", true});
   EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
-  EXPECT_TRUE(used(replica, 100, "back").contains("s1"));
+  EXPECT_TRUE(servers_used(replica, 100, "back").contains("s1"));
 }
 
-// The list may not tell of the restart, and a server in slow start that is taken for a warm one is
-// overloaded.
+// Discovery may not report the restart, and a server in slow start that is treated as warm is overloaded.
 TEST(ServerAdminState, EnabledServerIsInSlowStart) {
   Settings settings = basic_settings();
   settings.initial_capacity = 0.3;
   settings.slow_start_duration = 8;
   ReplicaUnderTest replica(settings);
   replica.at(0, members(3));
-  used(replica, 300, "before");
+  servers_used(replica, 300, "before");
   replica.at(replica.now, ServerAdminStateChanged{"s1", false});
-  used(replica, 100, "out");
+  servers_used(replica, 100, "out");
   replica.at(replica.now, ServerAdminStateChanged{"s1", true});
-  const auto back = used(replica, 200, "back");  // 2 s
-  const auto part = static_cast<double>(back.count("s1")) / static_cast<double>(back.size());
-  EXPECT_GT(part, 0.02);
-  EXPECT_LT(part, 0.20) << "a third once warmed up";
+  const auto back = servers_used(replica, 200, "back");  // 2 s
+  const auto fraction = static_cast<double>(back.count("s1")) / static_cast<double>(back.size());
+  EXPECT_GT(fraction, 0.02);
+  EXPECT_LT(fraction, 0.20) << "a third after slow start";
 }
 
-// If it were taken to start when it is enabled, it would get less than it can do and the others more.
-TEST(ServerAdminState, EnabledServerThatRestartedWhileDisabledIsAsWarmAsItsAge) {
+// If its slow start began when it is enabled, it would get less than its capacity and the other servers more.
+TEST(ServerAdminState, SlowStartOfAServerThatRestartedWhileDisabledBeginsAtTheRestart) {
   const auto requests_after_enabling = [](double started, double disabled_at) {
     Settings settings = basic_settings();
     settings.initial_capacity = 0.1;
     settings.slow_start_duration = 8;
     ReplicaUnderTest replica(settings);
     replica.at(0, members(3));
-    used(replica, 300, "before");
+    servers_used(replica, 300, "before");
     replica.at(disabled_at, ServerAdminStateChanged{"s1", false});
     MembershipUpdate change{MembershipUpdate::Form::kChanges, {server(1)}};
     change.servers[0].started = started;
     replica.at(20, change);
-    used(replica, 100, "out");
+    servers_used(replica, 100, "out");
     replica.at(replica.now, ServerAdminStateChanged{"s1", true});
-    return used(replica, 200, "back").count("s1");
+    return servers_used(replica, 200, "back").count("s1");
   };
   const auto before_disabling =
-      requests_after_enabling(3.5, 4);  // the list knows of no start since it was disabled
-  const auto while_disabled = requests_after_enabling(15, 4);  // 6 s ago, 6 of 8 s of its slow start
+      requests_after_enabling(3.5, 4);  // discovery reports no start since it was disabled
+  const auto while_disabled =
+      requests_after_enabling(15, 4);  // 6 s before it is enabled: 6 of 8 s of its slow start
   EXPECT_GT(while_disabled, 2 * before_disabling);
 }
 
@@ -105,16 +106,16 @@
   EXPECT_GT(rejected[0].retry_after, 0);
 }
 
-// A disabled server must not be used because it is listed only later, as at a start.
-TEST(ServerAdminState, DisablingHoldsForAServerThatIsListedLater) {
+// A server can be disabled before it is first listed, for example when the node starts.
+TEST(ServerAdminState, ServerDisabledBeforeItIsListedGetsNoRequest) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, ServerAdminStateChanged{"s1", false});
   replica.at(0, members(2));
-  EXPECT_FALSE(used(replica, 50, "r").contains("s1"));
+  EXPECT_FALSE(servers_used(replica, 50, "r").contains("s1"));
   EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 1U);
 }
 
-TEST(ServerAdminState, AttemptInFlightAtADisabledServerEndsAsUsual) {
+TEST(ServerAdminState, AttemptInFlightAtADisabledServerMaySucceed) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(1));
   ASSERT_EQ(actions_of<StartAttempt>(replica.request("r")).size(), 1U);
@@ -124,7 +125,7 @@
   EXPECT_EQ(actions_of<StartAttempt>(replica.request("r2")).size(), 1U);
 }
 
-TEST(UnavailableServers, FailingServerCountsUntilItRecovers) {
+TEST(UnavailableServers, FailingServerIsCountedWhileItIsEjected) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(1));
   EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
--- a/tests/unit/server_state_parts_test.cpp
+++ b/tests/unit/server_state_parts_test.cpp
@@ -1,4 +1,5 @@
-// What is learned of a server, by itself: outlier detection, slow start, capacity, relative latency.
+/// @file
+/// Unit tests of the state of a server: outlier detection, slow start, capacity, relative latency.
 #include <gtest/gtest.h>
 
 #include "balancer_harness.h"
@@ -10,7 +11,7 @@
 namespace nettleyoke {
 namespace {
 
-Settings warming_settings() {
+Settings slow_start_settings() {
   Settings settings = basic_settings();
   settings.initial_capacity = 0.2;
   settings.slow_start_duration = 10;
@@ -23,19 +24,19 @@
   return policy;
 }
 
-TEST(OutlierDetection, TwoFailuresEjectAServerUntilTheyHaveFaded) {
+TEST(OutlierDetection, TwoFailuresEjectAServerUntilTheyDecay) {
   OutlierDetection outlier;
   outlier.record(100, false);
   EXPECT_FALSE(outlier.is_ejected(100));
   outlier.record(100, false);
   EXPECT_TRUE(outlier.is_ejected(100));
   EXPECT_NEAR(outlier.failure_rate(106), 0.51 / 2, 1e-9)
-      << "half-life of 2 s, times one more than 2 in a row";
+      << "half-life of 2 s times 1 + 2 consecutive failures";
   EXPECT_FALSE(outlier.is_ejected(106));
   EXPECT_EQ(outlier.failure_rate(130), 0);
 }
 
-TEST(OutlierDetection, ASuccessAfterFailuresMakesThemFadeFaster) {
+TEST(OutlierDetection, ASuccessAfterFailuresMakesThemDecayFaster) {
   OutlierDetection failing;
   for (int i = 0; i < 4; ++i) failing.record(100, false);
   OutlierDetection recovering = failing;
@@ -51,7 +52,7 @@
 }
 
 TEST(SlowStart, TheFactorRisesFromTheInitialCapacityToOne) {
-  const SlowStartPolicy policy = policy_of(warming_settings());
+  const SlowStartPolicy policy = policy_of(slow_start_settings());
   const SlowStart server;
   EXPECT_DOUBLE_EQ(policy.factor(100, server, 100), 0.2);
   EXPECT_DOUBLE_EQ(policy.factor(105, server, 100), 0.6);
@@ -60,7 +61,7 @@
 }
 
 TEST(SlowStart, AnEnabledServerWarmsUpFromItsRestartOrElseFromItsEnabling) {
-  const SlowStartPolicy policy = policy_of(warming_settings());
+  const SlowStartPolicy policy = policy_of(slow_start_settings());
   SlowStart server;
   server.on_disabled(90);
   server.on_enabled(100);
@@ -69,9 +70,9 @@
   EXPECT_DOUBLE_EQ(policy.factor(100, server, 0), 0.2);
 }
 
-// Attempts that a server with a quarter of 20 requests/s gets in its first 4 s.
+// The number of attempts that a server with a quarter of 20 requests/s gets in its first 4 s.
 int attempts_while_warming(double overload_threshold) {
-  Settings settings = warming_settings();
+  Settings settings = slow_start_settings();
   settings.overload_threshold = overload_threshold;
   SlowStartPolicy policy = policy_of(settings);
   SlowStart server;
@@ -88,20 +89,20 @@
   return attempts;
 }
 
-TEST(SlowStart, TheTokenBucketHoldsAWarmingServerToItsShareTimesTheFactor) {
-  EXPECT_NEAR(attempts_while_warming(0), 4 * 5 * 0.36, 1);  // the factor is 0.36 in the mean
-  EXPECT_NEAR(attempts_while_warming(1), 4 * 5 * 0.36 / 2, 1) << "half of the overload threshold at most";
+TEST(SlowStart, TheTokenBucketLimitsAWarmingServerToItsShareTimesTheFactor) {
+  EXPECT_NEAR(attempts_while_warming(0), 4 * 5 * 0.36, 1);  // the mean factor is 0.36
+  EXPECT_NEAR(attempts_while_warming(1), 4 * 5 * 0.36 / 2, 1) << "at most half of the overload threshold";
 }
 
 TEST(SlowStart, AServerThatHasWarmedUpNeedsNoTokens) {
-  const SlowStartPolicy policy = policy_of(warming_settings());
+  const SlowStartPolicy policy = policy_of(slow_start_settings());
   SlowStart server;
   server.begin_incarnation(100, 0);
-  EXPECT_FALSE(policy.has_token(105, server, 100)) << "without a share of the traffic";
+  EXPECT_FALSE(policy.has_token(105, server, 100)) << "has no share of the traffic";
   EXPECT_TRUE(policy.has_token(110, server, 100));
 }
 
-TEST(IdleLatency, IsLearnedAfterEnoughResponsesAndTimeAndNeverTakesQueuesForUsual) {
+TEST(IdleLatency, IsLearnedAfterEnoughResponsesAndTimeAndDoesNotRiseToQueueingLatency) {
   IdleLatency idle;
   for (int i = 0; i < 30; ++i) idle.add(100, 0.1);
   EXPECT_FALSE(idle.is_learned()) << "no time has passed";
@@ -112,18 +113,18 @@
   EXPECT_EQ(idle.ratio(), 0.3);
 }
 
-TEST(ServerConcurrencyLimit, AnUnmeasuredServerHasCapacityThatFadesAndIsSharedByReplicas) {
+TEST(ServerConcurrencyLimit, TheCapacityOfAnUnmeasuredServerDecaysAndIsSharedByReplicas) {
   const ServerConcurrencyLimit limit(100);
   const SubsetShape alone{1, 1};
   EXPECT_TRUE(limit.has_capacity(100, 7, 0.1, alone, false));
   EXPECT_FALSE(limit.has_capacity(100, 8, 0.1, alone, false));
-  EXPECT_TRUE(limit.has_capacity(100, 10, 0.1, alone, true)) << "1.3 times that within the quota";
+  EXPECT_TRUE(limit.has_capacity(100, 10, 0.1, alone, true)) << "1.3 times the capacity within the quota";
   EXPECT_FALSE(limit.has_capacity(130, 3, 0.1, alone, false));
-  EXPECT_TRUE(limit.has_capacity(130, 0, 0.1, {1, 100}, false)) << "one call at least";
+  EXPECT_TRUE(limit.has_capacity(130, 0, 0.1, {1, 100}, false)) << "at least one attempt";
   EXPECT_FALSE(limit.has_capacity(130, 1, 0.1, {1, 100}, false));
 }
 
-TEST(ServerConcurrencyLimit, TurnsSlowOnceAndRecoversBelowALowerThreshold) {
+TEST(ServerConcurrencyLimit, BecomesSlowOnceAndRecoversBelowALowerThreshold) {
   ServerConcurrencyLimit limit;
   for (int i = 0; i < 50; ++i) {
     limit.record_response(100 + i * 0.1, 0.1);
@@ -133,13 +134,13 @@
   EXPECT_FALSE(limit.update_slow_state());
   for (int i = 0; i < 20; ++i) limit.record_recent_latency(0.3);
   EXPECT_TRUE(limit.update_slow_state());
-  EXPECT_FALSE(limit.update_slow_state()) << "it has been slow before";
+  EXPECT_FALSE(limit.update_slow_state()) << "it is slow already";
   for (int i = 0; i < 4; ++i) limit.record_recent_latency(0.1);
   EXPECT_TRUE(limit.is_slower_than_idle());
   EXPECT_FALSE(limit.update_slow_state());
 }
 
-TEST(TierConcurrencyLimit, OnlyTheFirstTierIsLimitedAndDraws) {
+TEST(TierConcurrencyLimit, OnlyTheFirstTierIsLimitedAndUsesRandomNumbers) {
   Settings settings = basic_settings();
   TierConcurrencyLimit first;
   first.configure(settings);
@@ -153,21 +154,21 @@
   RandomSource random(1);
   EXPECT_TRUE(second.has_capacity(100, {1, 1}, false, random));
   EXPECT_EQ(RandomSource(random).next(), RandomSource(1).next());
-  EXPECT_FALSE(first.has_capacity(100, {1, 1}, false, random)) << "2 calls for the server, 2 by chance";
+  EXPECT_FALSE(first.has_capacity(100, {1, 1}, false, random)) << "2 attempts for the server, 2 by chance";
   EXPECT_TRUE(first.has_capacity(100, {20, 1}, false, random)) << "the same for each of 20 servers";
 }
 
-TEST(OverloadBound, DropsBelowTheCallsInFlightAndRisesAgain) {
+TEST(OverloadBound, IsLoweredBelowTheAttemptsInFlightAndRisesAgain) {
   OverloadBound bound;
   EXPECT_EQ(bound.at(100), kInfinity);
   EXPECT_DOUBLE_EQ(bound.lower(100, 20), 18);
   EXPECT_FALSE(bound.may_lower(101));
   EXPECT_TRUE(bound.may_lower(102.1));
   EXPECT_NEAR(bound.at(140), 18 * 2.71828, 0.01);
-  EXPECT_EQ(bound.lower(200, 0), 1) << "0 would reject all calls for good";
+  EXPECT_EQ(bound.lower(200, 0), 1) << "a bound of 0 would reject all requests forever";
 }
 
-TEST(SlowServerCount, HalfOfTheMeasuredServersAreAnOverload) {
+TEST(SlowServerCount, IsAnOverloadIfHalfOfTheMeasuredServersAreSlow) {
   SlowServerCount count;
   count.add(true);
   count.add(false);
@@ -176,7 +177,7 @@
   EXPECT_FALSE(count.is_overload());
 }
 
-TEST(RelativeLatency, FollowsSlowAnswersAndFadesToTheUsual) {
+TEST(RelativeLatency, RisesWithSlowResponsesAndDecaysToOne) {
   RelativeLatency latency;
   InFlightLoad in_flight;
   for (int i = 0; i < 20; ++i) latency.record(100, 3);
@@ -184,7 +185,7 @@
   EXPECT_NEAR(latency.at(110, in_flight, 1), 2, 0.1);
   EXPECT_EQ(latency.at(120, in_flight, 1), 1);
   in_flight.add(115);
-  EXPECT_EQ(latency.at(125, in_flight, 2), 5) << "by the age of what is not answered";
+  EXPECT_EQ(latency.at(125, in_flight, 2), 5) << "from the age of the attempt without a response";
 }
 
 }  // namespace
--- a/tests/unit/settings_replacement_test.cpp
+++ b/tests/unit/settings_replacement_test.cpp
@@ -13,7 +13,7 @@
 
 Settings named_settings(int max_attempts) {
   Settings settings = basic_settings();
-  settings.classes[0].name = "look";
+  settings.classes[0].name = "read";
   settings.max_attempts = max_attempts;
   Tenant tenant;
   tenant.quota = 5;
@@ -22,7 +22,7 @@
   return settings;
 }
 
-TEST(SettingsReplacement, RequestInFlightKeepsItsRulesToItsLastAttempt) {
+TEST(SettingsReplacement, RequestInFlightKeepsItsClassSettings) {
   ReplicaUnderTest replica(named_settings(3));
   replica.at(0, members(4));
   ASSERT_EQ(actions_of<StartAttempt>(replica.request("before")).size(), 1U);
@@ -30,19 +30,19 @@
   next.classes[0].idempotency = Idempotency::kNonIdempotent;
   replica.at(replica.now, SettingsReplaced{next});
   EXPECT_EQ(actions_of<StartAttempt>(replica.end_attempt("before", Outcome::kReset)).size(), 1U)
-      << "idempotent, and three attempts";
+      << "still idempotent, with three attempts";
   EXPECT_EQ(actions_of<StartAttempt>(replica.end_attempt("before", Outcome::kReset, 1)).size(), 1U);
   EXPECT_TRUE(actions_of<StartAttempt>(replica.end_attempt("before", Outcome::kReset, 2)).empty());
   ASSERT_EQ(actions_of<StartAttempt>(replica.request("after")).size(), 1U);
   EXPECT_EQ(actions_of<Fail>(replica.end_attempt("after", Outcome::kReset)).size(), 1U)
-      << "non-idempotent, and one attempt";
+      << "non-idempotent, with one attempt";
 }
 
-TEST(SettingsReplacement, RequestOfADroppedClassEndsAsUsual) {
-  Settings two = named_settings(3);
-  two.classes.push_back(class_of(Idempotency::kIdempotencyKey));
-  two.classes[1].name = "mark";
-  ReplicaUnderTest replica(two);
+TEST(SettingsReplacement, RequestOfARemovedClassIsRetriedAndSucceeds) {
+  Settings with_two_classes = named_settings(3);
+  with_two_classes.classes.push_back(class_of(Idempotency::kIdempotencyKey));
+  with_two_classes.classes[1].name = "write";
+  ReplicaUnderTest replica(with_two_classes);
   replica.at(0, members(4));
   ASSERT_EQ(actions_of<StartAttempt>(replica.request("r", 0, 1)).size(), 1U);
   replica.at(replica.now, SettingsReplaced{named_settings(3)});
@@ -50,10 +50,10 @@
   EXPECT_TRUE(replica.end_attempt("r", Outcome::kSucceeded, 1).empty());
 }
 
-TEST(SettingsReplacement, LearnedRateLimitFollowsTheTenantsName) {
+TEST(SettingsReplacement, LearnedRateLimitIsKeptForTheTenantOfTheSameName) {
   ReplicaUnderTest replica(named_settings(3));
   replica.at(0, members(4));
-  // All are answered well and in time: the limit rises.
+  // All requests succeed within the latency objective, so the rate limit rises.
   for (int i = 0; i < 4000; ++i) {
     replica.now += 0.01;
     const std::string id = "r" + std::to_string(i);
@@ -74,14 +74,15 @@
       << "a new tenant starts from its own quota";
 }
 
-TEST(SettingsReplacement, InvalidSettingsChangeNothing) {
+TEST(SettingsReplacement, InvalidSettingsAreRejectedAndChangeNothing) {
   ReplicaUnderTest replica(named_settings(3));
   replica.at(0, members(4));
-  Settings bad = named_settings(1);
-  bad.classes[0].client_timeout = 0;
-  std::vector<Action> none;
-  EXPECT_THROW(replica.balancer.handle(replica.now, SettingsReplaced{bad}, none), std::invalid_argument);
-  EXPECT_TRUE(none.empty());
+  Settings invalid = named_settings(1);
+  invalid.classes[0].client_timeout = 0;
+  std::vector<Action> actions;
+  EXPECT_THROW(replica.balancer.handle(replica.now, SettingsReplaced{invalid}, actions),
+               std::invalid_argument);
+  EXPECT_TRUE(actions.empty());
   ASSERT_EQ(actions_of<StartAttempt>(replica.request("r")).size(), 1U);
   EXPECT_EQ(actions_of<StartAttempt>(replica.end_attempt("r", Outcome::kReset)).size(), 1U);
 }
--- a/tests/unit/watch_backoff_test.cpp
+++ b/tests/unit/watch_backoff_test.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// When the membership is watched again, where watches may wait and fail in any way. Nothing here takes time:
-/// the watches last as long as the test says.
+/// When a replica watches the membership again after watches that hung or failed. Time is simulated.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,11 +11,11 @@
 
 MembershipUpdate failed() { return {MembershipUpdate::Form::kFailed, {}}; }
 
-// A backoff that has grown with watches that were refused may follow one that hung: what discovery got in the
-// meantime counts as notified 6 s after it could be reached, which may have been just after the start of the
-// watch that hung.
-TEST(WatchBackoff, NextWatchBeginsSoonAfterTheStartOfOneThatHung) {
-  for (const double hung : {0.0, 1.0, 3.0, 4.5}) {
+// A watch that hung may follow refused watches, which have increased the backoff. A replica counts as
+// notified of a change 6 s after discovery became reachable, which may be just after the start of the watch
+// that hung. The next watch must therefore start soon after that start.
+TEST(WatchBackoff, NextWatchStartsSoonAfterTheStartOfAWatchThatHung) {
+  for (const double hang_seconds : {0.0, 1.0, 3.0, 4.5}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       for (int refused = 0; refused < 8; ++refused) {
         Settings settings = basic_settings();
@@ -24,24 +23,27 @@
         settings.notification_deadline = seed % 2 == 0 ? 10 : 0;
         ReplicaUnderTest replica(settings, seed);
         replica.at(0, Started{});
-        double begun = 0;
-        const auto watch_after = [&](double duration) {
-          const auto timers = actions_of<SetTimer>(replica.at(begun + duration, failed()));
+        double watch_started_at = 0;
+        const auto watch_fails_after = [&](double duration) {
+          const auto timers = actions_of<SetTimer>(replica.at(watch_started_at + duration, failed()));
           ASSERT_EQ(timers.size(), 1U);
-          EXPECT_GE(timers[0].due_at, begun + duration + 0.15) << "no flood";
-          EXPECT_LE(timers[0].due_at - begun, std::max(4.0, duration + 0.3)) << refused << ", hung " << hung;
-          begun = timers[0].due_at;
-          ASSERT_EQ(actions_of<WatchMembership>(replica.at(begun, TimerFired{timers[0].token})).size(), 1U);
+          EXPECT_GE(timers[0].due_at, watch_started_at + duration + 0.15) << "the backoff is too short";
+          EXPECT_LE(timers[0].due_at - watch_started_at, std::max(4.0, duration + 0.3))
+              << refused << " refused watches, then one that hung for " << hang_seconds << " s";
+          watch_started_at = timers[0].due_at;
+          ASSERT_EQ(
+              actions_of<WatchMembership>(replica.at(watch_started_at, TimerFired{timers[0].token})).size(),
+              1U);
         };
-        for (int i = 0; i < refused; ++i) watch_after(0);
-        watch_after(hung);
+        for (int i = 0; i < refused; ++i) watch_fails_after(0);
+        watch_fails_after(hang_seconds);
       }
     }
   }
 }
 
-// There must not be two watches for each failure from then on: the node watches at once where discovery has
-// moved.
+// After a reload that changes the address of discovery, the node watches at once. If the old timer started a
+// second watch, each later failure would lead to two watches.
 TEST(WatchBackoff, TimerFromBeforeAReloadStartsNoWatch) {
   Settings settings = basic_settings();
   settings.must_watch = true;
--- a/tests/unit/zone_test.cpp
+++ b/tests/unit/zone_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Attempts in a remote zone cost a fee: which are worth it, and which have to be made.
+/// Zone locality: which requests are worth the cross-zone cost of an attempt in the remote zone.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 namespace {
 
 constexpr double kServiceSeconds = 0.2;     // each server serves one request at a time
-constexpr double kCrossZoneSeconds = 0.02;  // to the remote zone and back
+constexpr double kCrossZoneSeconds = 0.02;  // round trip to the remote zone
 constexpr double kConnectFailsAfterSeconds = 0.2;
 constexpr int kLocalServers = 2;
 constexpr int kRemoteServers = 4;
 
-// An attempt in flight; they end in the order of their members.
+// An attempt in flight, ordered by the time at which it ends.
 struct PendingAttempt {
   double ends_at = 0;
   std::string id;
@@ -32,7 +32,8 @@
   }
 };
 
-// One of five replicas, before servers with a queue each. A remote zone that is cut off refuses connections.
+// One of five replicas, and servers with a queue each in a local and a remote zone. While the remote zone is
+// cut off, connects to it fail.
 struct TwoZones {
   explicit TwoZones(double cross_zone_cost) : replica(settings(cross_zone_cost)) {
     list_local_servers(kLocalServers);
@@ -45,6 +46,7 @@
     return settings;
   }
 
+  // Reports a full list with all remote servers and `count` local ones.
   void list_local_servers(int count) {
     MembershipUpdate update;
     for (int i = kLocalServers - count; i < kLocalServers + kRemoteServers; ++i)
@@ -52,24 +54,24 @@
     replica.at(replica.now, update);
   }
 
-  // Sends a burst of requests each `gap` seconds for `seconds`; starts new counts.
-  void offer(double seconds, double gap, int burst) {
-    local = remote = rejected = 0;
+  // Resets the counts, then sends `burst` requests every `gap` seconds for `seconds`.
+  void send_bursts(double seconds, double gap, int burst) {
+    local_attempts = remote_attempts = rejected = 0;
     const double from = replica.now;
     for (int n = 0; n * gap < seconds; ++n) {
       run_until(from + n * gap);
-      for (int i = 0; i < burst; ++i) follow(replica.request("r" + std::to_string(requests++)));
+      for (int i = 0; i < burst; ++i) execute(replica.request("r" + std::to_string(requests++)));
     }
     run_until(from + seconds);
   }
 
-  void follow(const std::vector<Action>& actions) {
+  void execute(const std::vector<Action>& actions) {
     rejected += static_cast<int>(actions_of<Reject>(actions).size());
     for (const StartAttempt& started : actions_of<StartAttempt>(actions)) {
       const int number = std::stoi(started.server.substr(1));
       const bool is_remote = number >= kLocalServers;
-      (is_remote ? remote : local) += 1;
-      const int attempt = attempts[started.id]++;
+      (is_remote ? remote_attempts : local_attempts) += 1;
+      const int attempt = attempt_counts[started.id]++;
       if (is_remote && remote_is_cut_off) {
         pending.insert({replica.now + kConnectFailsAfterSeconds, started.id, attempt, replica.now,
                         Outcome::kConnectFailed});
@@ -89,75 +91,78 @@
       replica.now = next.ends_at;
       const double elapsed = next.ends_at - next.started_at;
       if (next.outcome == Outcome::kSucceeded) longest_response = std::max(longest_response, elapsed);
-      follow(replica.end_attempt(next.id, next.outcome, next.number, elapsed));
+      execute(replica.end_attempt(next.id, next.outcome, next.number, elapsed));
     }
     replica.now = time;
   }
 
-  // The part of the attempts that went to the remote zone.
-  double remote_part() const { return static_cast<double>(remote) / std::max(1, local + remote); }
+  // The fraction of the attempts that were sent to the remote zone.
+  double remote_fraction() const {
+    return static_cast<double>(remote_attempts) / std::max(1, local_attempts + remote_attempts);
+  }
 
   ReplicaUnderTest replica;
   std::set<PendingAttempt> pending;
-  std::map<std::string, int> attempts;
-  std::map<int, double> free_at;
-  int local = 0;
-  int remote = 0;
+  std::map<std::string, int> attempt_counts;  // by request
+  std::map<int, double> free_at;              // when a server has emptied its queue
+  int local_attempts = 0;
+  int remote_attempts = 0;
   int rejected = 0;
   int requests = 0;
   double longest_response = 0;
   bool remote_is_cut_off = false;
 };
 
-// No fee is paid for nothing: bursts that the local zone answers within a third of the latency objective.
+// Bursts that the local zone serves within a third of the latency objective are not worth a cross-zone cost.
 TEST(ZoneLocality, RequestsThatTheLocalZoneServesInTimeStayLocal) {
-  TwoZones priced(0.22);
-  TwoZones free(0);
-  for (TwoZones* zones : {&priced, &free}) {
-    zones->offer(20, 0.5, 3);
-    zones->offer(60, 0.5, 3);
+  TwoZones with_cost(0.22);
+  TwoZones without_cost(0);
+  for (TwoZones* zones : {&with_cost, &without_cost}) {
+    zones->send_bursts(20, 0.5, 3);
+    zones->send_bursts(60, 0.5, 3);
     EXPECT_EQ(zones->rejected, 0);
   }
-  EXPECT_LT(priced.remote_part(), 0.02);
-  EXPECT_GT(free.remote_part(), 0.4);
+  EXPECT_LT(with_cost.remote_fraction(), 0.02);
+  EXPECT_GT(without_cost.remote_fraction(), 0.4);
 }
 
-// Under a skew, half as much again as the local zone can do. Where the bound on its queues is wider than that
-// on the tier, it never counts as full, and what the remote zone could serve is rejected.
-TEST(ZoneLocality, OverloadOfTheLocalZoneSpillsOverAndTheRestStays) {
+// The load is 1.5 times the capacity of the local zone. If the bound on its queues were wider than the bound
+// on the tier, the zone would never count as full, and requests that the remote zone could serve would be
+// rejected.
+TEST(ZoneLocality, OnlyTheExcessLoadOfTheLocalZoneGoesToTheRemoteZone) {
   TwoZones zones(0.22);
-  zones.offer(20, 0.2, 3);
-  zones.offer(60, 0.2, 3);
-  EXPECT_GT(zones.remote_part(), 0.25);
-  EXPECT_LT(zones.remote_part(), 0.45);
+  zones.send_bursts(20, 0.2, 3);
+  zones.send_bursts(60, 0.2, 3);
+  EXPECT_GT(zones.remote_fraction(), 0.25);
+  EXPECT_LT(zones.remote_fraction(), 0.45);
   EXPECT_LT(zones.rejected, 18) << "of 900";
   EXPECT_LT(zones.longest_response, 2) << "the latency objective";
 }
 
-TEST(ZoneLocality, RequestsOfALostZoneGoRemoteAndReturnAfterwards) {
+TEST(ZoneLocality, RequestsGoToTheRemoteZoneOnlyWhileTheLocalZoneHasNoServers) {
   TwoZones zones(0.22);
-  zones.offer(20, 0.5, 3);
+  zones.send_bursts(20, 0.5, 3);
   zones.list_local_servers(0);
-  zones.offer(10, 0.5, 3);
-  EXPECT_EQ(zones.local, 0);
-  EXPECT_EQ(zones.remote, 60);
+  zones.send_bursts(10, 0.5, 3);
+  EXPECT_EQ(zones.local_attempts, 0);
+  EXPECT_EQ(zones.remote_attempts, 60);
   EXPECT_EQ(zones.rejected, 0);
   zones.list_local_servers(kLocalServers);
-  zones.offer(10, 0.5, 3);
-  zones.offer(30, 0.5, 3);
-  EXPECT_LT(zones.remote_part(), 0.02);
+  zones.send_bursts(10, 0.5, 3);
+  zones.send_bursts(30, 0.5, 3);
+  EXPECT_LT(zones.remote_fraction(), 0.02);
 }
 
-// Cut off from the others, a zone with more requests than it can serve goes on serving what it can.
-TEST(ZoneLocality, CutOffZoneServesAsMuchAsBefore) {
+// An overloaded zone that is cut off from the remote zone still serves as many requests as it can.
+TEST(ZoneLocality, CutOffZoneServesAlmostAsMuchAsBefore) {
   TwoZones zones(0.22);
-  zones.offer(20, 0.2, 3);
-  zones.offer(10, 0.2, 3);
-  const int before = zones.local;
+  zones.send_bursts(20, 0.2, 3);
+  zones.send_bursts(10, 0.2, 3);
+  const int before = zones.local_attempts;
   zones.remote_is_cut_off = true;
-  zones.offer(10, 0.2, 3);
-  EXPECT_GT(zones.local, before * 9 / 10);
-  EXPECT_LT(zones.remote_part(), 0.5);
+  zones.send_bursts(10, 0.2, 3);
+  EXPECT_GT(zones.local_attempts, before * 9 / 10);
+  EXPECT_LT(zones.remote_fraction(), 0.5);
 }
 
 }  // namespace
