--- a/tests/unit/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -181,8 +181,8 @@
       if (!std::exchange(*is_reported, true)) report_result(node, id, attempt, outcome, started_at);
     };
     schedule(now_ + started.timeout, [report] { report(Outcome::kTimedOut); });
-    const int number = node.tier * chain_.servers + std::stoi(started.server.substr(1));
-    SimulatedServer& server = servers_[static_cast<std::size_t>(number)];
+    const int server_index = node.tier * chain_.servers + std::stoi(started.server.substr(1));
+    SimulatedServer& server = servers_[static_cast<std::size_t>(server_index)];
     server.queue.push_back({deadline, [report](bool succeeded) {
                               report(succeeded ? Outcome::kSucceeded : Outcome::kServerError);
                             }});
--- a/tests/unit/event_stream.cpp
+++ b/tests/unit/event_stream.cpp
@@ -44,10 +44,11 @@
 
 double SimulatedServers::capacity(const Server& server, double now) const {
   const Settings& settings = scenario_.settings;
-  const double full = scenario_.slots * std::max(server.weight, 0.5);
-  if (server.started == 0 || settings.slow_start_duration <= 0) return full;
-  const double warm = settings.initial_capacity + (now - server.started) / settings.slow_start_duration;
-  return full * std::clamp(warm, 0.05, 1.0);
+  const double full_capacity = scenario_.slots * std::max(server.weight, 0.5);
+  if (server.started == 0 || settings.slow_start_duration <= 0) return full_capacity;
+  const double warm_fraction =
+      settings.initial_capacity + (now - server.started) / settings.slow_start_duration;
+  return full_capacity * std::clamp(warm_fraction, 0.05, 1.0);
 }
 
 Outcome SimulatedServers::random_failure() {
@@ -82,18 +83,18 @@
 MembershipUpdate SimulatedServers::change_server(double now) {
   const std::size_t at = random_.below(listed_.size());
   Server& server = listed_[at];
-  const double kind = random_.unit();
-  if (scenario_.restarts && kind < 0.5) {
+  const double chosen_change = random_.unit();
+  if (scenario_.restarts && chosen_change < 0.5) {
     server.started = now - random_.between(0, 1);
     server.state = ServerState::kReady;
   } else if (server.state != ServerState::kReady) {
-    server.state =
-        server.state == ServerState::kDraining && kind < 0.7 ? ServerState::kRemoved : ServerState::kReady;
-  } else if (kind < 0.75) {
+    server.state = server.state == ServerState::kDraining && chosen_change < 0.7 ? ServerState::kRemoved
+                                                                                 : ServerState::kReady;
+  } else if (chosen_change < 0.75) {
     server.state = ServerState::kDraining;
-  } else if (kind < 0.85) {
+  } else if (chosen_change < 0.85) {
     server.weight = server.weight > 1 ? 1 : 1.5;
-  } else if (kind < 0.88) {
+  } else if (chosen_change < 0.88) {
     server.weight = 0;  // invalid: the balancer takes it for 1
   } else {
     // The replaced server is missing from the next full list.
@@ -244,14 +245,15 @@
   if (result.elapsed > started.timeout) result = {Outcome::kTimedOut, started.timeout};
   if (started.send_within && *started.send_within < 0.02) result = {Outcome::kNotSent, 0.001};
   if (result.outcome == Outcome::kSucceeded && client.streams_response) {
-    const double more = random_.between(0.01, 0.5);
-    schedule(result.elapsed, [=, this] { start_response(replica, started.id, attempt, more); });
+    const double body_seconds = random_.between(0.01, 0.5);
+    schedule(result.elapsed, [=, this] { start_response(replica, started.id, attempt, body_seconds); });
     return;
   }
   schedule(result.elapsed, [=, this] { end_attempt(replica, started.id, attempt, result.outcome); });
 }
 
-void EventStream::start_response(std::size_t replica, const std::string& id, int attempt, double more) {
+void EventStream::start_response(std::size_t replica, const std::string& id, int attempt,
+                                 double body_seconds) {
   const SimulatedAttempt* const found = find_open_attempt(replica, id, attempt);
   if (!found) return;
   clients_[replica][id].answered = true;
@@ -259,7 +261,7 @@
   notify(replica, started);
   if (random_.chance(0.1)) notify(replica, started);  // reported twice
   const Outcome outcome = random_.chance(0.1) ? Outcome::kReset : Outcome::kSucceeded;
-  schedule(more, [=, this] { end_attempt(replica, id, attempt, outcome); });
+  schedule(body_seconds, [=, this] { end_attempt(replica, id, attempt, outcome); });
 }
 
 void EventStream::end_attempt(std::size_t replica, const std::string& id, int attempt, Outcome outcome) {
--- a/tests/unit/event_stream.h
+++ b/tests/unit/event_stream.h
@@ -141,7 +141,7 @@
   void execute(std::size_t replica, const WatchMembership& watch);
   void execute(std::size_t, const LogLine&) {}
   void end_attempt(std::size_t replica, const std::string& id, int attempt, Outcome outcome);
-  void start_response(std::size_t replica, const std::string& id, int attempt, double more);
+  void start_response(std::size_t replica, const std::string& id, int attempt, double body_seconds);
   SimulatedAttempt* find_open_attempt(std::size_t replica, const std::string& id, int attempt);
 
   void change_membership();
--- a/tests/unit/retry_budget_test.cpp
+++ b/tests/unit/retry_budget_test.cpp
@@ -131,12 +131,12 @@
 // If each tier retried every failure of the next one, retries would multiply and keep up the overload.
 TEST(RetryBudget, BoundsTheLoadOfTheLastTierUnderOverload) {
   for (const int tiers : {1, 3, 7}) {
-    for (const Outcome bad :
+    for (const Outcome failure :
          {Outcome::kServerError, Outcome::kRejected, Outcome::kTimedOut, Outcome::kConnectFailed}) {
       TieredFleet fleet(tiers);
       const int count = 1000;
       EXPECT_EQ(fleet.run(count), count);
-      fleet.last_tier_outcome = [bad] { return bad; };
+      fleet.last_tier_outcome = [failure] { return failure; };
       std::fill(fleet.requests_by_tier.begin(), fleet.requests_by_tier.end(), 0);
       std::fill(fleet.connects_by_tier.begin(), fleet.connects_by_tier.end(), 0);
       EXPECT_EQ(fleet.run(count), 0);
--- a/tests/unit/zone_test.cpp
+++ b/tests/unit/zone_test.cpp
@@ -23,12 +23,12 @@
 struct PendingAttempt {
   double ends_at = 0;
   std::string id;
-  int number = 0;
+  int attempt = 0;
   double started_at = 0;
   Outcome outcome = Outcome::kSucceeded;
   bool operator<(const PendingAttempt& other) const {
-    return std::tie(ends_at, id, number, started_at, outcome) <
-           std::tie(other.ends_at, other.id, other.number, other.started_at, other.outcome);
+    return std::tie(ends_at, id, attempt, started_at, outcome) <
+           std::tie(other.ends_at, other.id, other.attempt, other.started_at, other.outcome);
   }
 };
 
@@ -68,8 +68,8 @@
   void execute(const std::vector<Action>& actions) {
     rejected += static_cast<int>(actions_of<Reject>(actions).size());
     for (const StartAttempt& started : actions_of<StartAttempt>(actions)) {
-      const int number = std::stoi(started.server.substr(1));
-      const bool is_remote = number >= kLocalServers;
+      const int server_number = std::stoi(started.server.substr(1));
+      const bool is_remote = server_number >= kLocalServers;
       (is_remote ? remote_attempts : local_attempts) += 1;
       const int attempt = attempt_counts[started.id]++;
       if (is_remote && remote_is_cut_off) {
@@ -77,7 +77,7 @@
                         Outcome::kConnectFailed});
         continue;
       }
-      double& free = free_at[number];
+      double& free = free_at[server_number];
       free = std::max(free, replica.now) + kServiceSeconds;
       pending.insert({free + (is_remote ? kCrossZoneSeconds : 0), started.id, attempt, replica.now,
                       Outcome::kSucceeded});
@@ -91,7 +91,7 @@
       replica.now = next.ends_at;
       const double elapsed = next.ends_at - next.started_at;
       if (next.outcome == Outcome::kSucceeded) longest_response = std::max(longest_response, elapsed);
-      execute(replica.end_attempt(next.id, next.outcome, next.number, elapsed));
+      execute(replica.end_attempt(next.id, next.outcome, next.attempt, elapsed));
     }
     replica.now = time;
   }
