--- a/node/config.cpp
+++ b/node/config.cpp
@@ -68,21 +68,21 @@
   const auto [end, problem] =
       std::from_chars(digits.data(), digits.data() + digits.size(), seed, kHexadecimal);
   if (problem != std::errc() || end != digits.data() + digits.size()) {
-    json::wrong("seed", "a hexadecimal number");
+    json::throw_invalid("seed", "a hexadecimal number");
   }
   return seed;
 }
 
 boost::asio::ip::tcp::endpoint read_address(const json::Value& document, const char* field) {
   const auto endpoint = parse_endpoint(json::text(document, field));
-  if (!endpoint) json::wrong(field, "an address with a port");
+  if (!endpoint) json::throw_invalid(field, "an address with a port");
   return *endpoint;
 }
 
 double read_timeout(const json::Value& bounds, const char* field, double default_seconds) {
   constexpr double kMaxSeconds = 1e6;
   const double seconds = json::number_or(bounds, field, default_seconds);
-  if (!(seconds > 0 && seconds < kMaxSeconds)) json::wrong(field, "a number above 0");
+  if (!(seconds > 0 && seconds < kMaxSeconds)) json::throw_invalid(field, "a number above 0");
   return seconds;
 }
 
@@ -95,7 +95,7 @@
 std::vector<std::string> read_zones(const json::Value& settings) {
   std::vector<std::string> zones;
   for (const json::Value& zone : json::array(settings, "azs").GetArray()) {
-    if (!zone.IsString()) json::wrong("azs", "an array of strings");
+    if (!zone.IsString()) json::throw_invalid("azs", "an array of strings");
     zones.emplace_back(zone.GetString(), zone.GetStringLength());
   }
   return zones;
@@ -119,13 +119,13 @@
   constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
   const json::Value* limits = json::find(document, "limits");
   const auto limit = [limits](const char* field, int default_limit) {
-    return limits != nullptr ? json::whole_or(*limits, field, default_limit) : default_limit;
+    return limits != nullptr ? json::integer_or(*limits, field, default_limit) : default_limit;
   };
   const int sockets = limit("sockets", kDefaultSockets);
-  if (sockets < kMinSockets) json::wrong("sockets", "at least 64");
+  if (sockets < kMinSockets) json::throw_invalid("sockets", "at least 64");
   config.descriptor_limit = static_cast<std::size_t>(sockets);
   const int megabytes = limit("memory_mb", kDefaultMemoryMegabytes);
-  if (megabytes < kMinMemoryMegabytes) json::wrong("memory_mb", "at least 8");
+  if (megabytes < kMinMemoryMegabytes) json::throw_invalid("memory_mb", "at least 8");
   config.memory_limit_bytes = static_cast<std::size_t>(megabytes) * kBytesPerMegabyte;
 }
 
@@ -145,8 +145,8 @@
   constexpr int kDefaultOpenRequests = 20000;
   config.connect_timeout = read_timeout(bounds, "dialTimeout", kDefaultConnectSeconds);
   config.server_idle_timeout = read_timeout(bounds, "idleClose", kDefaultIdleSeconds);
-  const int max_open = json::whole_or(bounds, "maxOpen", kDefaultOpenRequests);
-  if (max_open < 1) json::wrong("maxOpen", "at least 1");
+  const int max_open = json::integer_or(bounds, "maxOpen", kDefaultOpenRequests);
+  if (max_open < 1) json::throw_invalid("maxOpen", "at least 1");
   config.max_open = static_cast<std::size_t>(max_open);
 }
 
@@ -161,9 +161,9 @@
   gather_keys(document, "", config.keys);
   read_identity(document, config);
   read_limits(document, config);
-  const json::Value& settings = json::need(document, "settings");
+  const json::Value& settings = json::require(document, "settings");
   read_decision_settings(settings, config);
-  read_bounds(json::need(settings, "bounds"), config);
+  read_bounds(json::require(settings, "bounds"), config);
   read_known(document, clock, config);
   return config;
 }
--- a/node/discovery/endpoint_list.cpp
+++ b/node/discovery/endpoint_list.cpp
@@ -12,7 +12,7 @@
   if (status == "up") return ServerState::kReady;
   if (status == "draining") return ServerState::kDraining;
   if (status == "removed") return ServerState::kRemoved;
-  json::wrong("status", "up, draining or removed");
+  json::throw_invalid("status", "up, draining or removed");
 }
 
 // A zone that the directory doesn't name gets the number after its last.
@@ -23,7 +23,7 @@
 
 double read_start_time(const json::Value& item, const Clock& clock) {
   constexpr std::uint64_t kMaxUnixMilliseconds = 1ULL << 53;
-  const std::uint64_t since = std::min(json::token(item, "since_ms"), kMaxUnixMilliseconds);
+  const std::uint64_t since = std::min(json::unsigned_integer(item, "since_ms"), kMaxUnixMilliseconds);
   return clock.from_unix_ms(static_cast<std::int64_t>(since));
 }
 
@@ -35,11 +35,11 @@
   // A server that was removed needs no more than its name.
   if (json::find(item, "address") != nullptr || server.state != ServerState::kRemoved) {
     const auto endpoint = parse_endpoint(json::text(item, "address"));
-    if (!endpoint) json::wrong("address", "an address with a port");
+    if (!endpoint) json::throw_invalid("address", "an address with a port");
     member.endpoint = *endpoint;
   }
   if (json::find(item, "zone") != nullptr) server.zone = read_zone(item, directory);
-  server.cell = json::whole_or(item, "group", 0);
+  server.cell = json::integer_or(item, "group", 0);
   server.weight = json::number_or(item, "weight", 1);
   if (json::find(item, "since_ms") != nullptr) server.started = read_start_time(item, clock);
   return member;
@@ -69,8 +69,8 @@
                                 const Clock& clock) {
   try {
     EndpointList list;
-    list.version = json::token(object, "index");
-    list.is_full = json::flag(object, "snapshot");
+    list.version = json::unsigned_integer(object, "index");
+    list.is_full = json::boolean_or_false(object, "snapshot");
     for (const json::Value& item : json::array(object, "endpoints").GetArray()) {
       list.endpoints.push_back(read_endpoint(item, directory, clock));
     }
--- a/node/takeover/disabled_servers.cpp
+++ b/node/takeover/disabled_servers.cpp
@@ -47,10 +47,10 @@
 std::set<std::string> parse_servers(const std::string& text) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (document.HasParseError()) throw json::BadMessage("not valid JSON");
+  if (document.HasParseError()) throw json::InvalidMessage("not valid JSON");
   std::set<std::string> servers;
   for (const json::Value& name : json::array(document, "disabled").GetArray()) {
-    if (!name.IsString()) throw json::BadMessage("a name is not a string");
+    if (!name.IsString()) throw json::InvalidMessage("a name is not a string");
     servers.emplace(name.GetString(), name.GetStringLength());
   }
   return servers;
--- a/settings_json/settings_reader.cpp
+++ b/settings_json/settings_reader.cpp
@@ -8,19 +8,21 @@
 namespace {
 
 DedupScope read_dedup_scope(const Value& object) {
-  const std::string_view word = text(object, "group");
-  if (word == "all") return DedupScope::kAll;
-  if (word == "zone") return DedupScope::kZone;
-  if (word == "cell") return DedupScope::kCell;
-  throw std::invalid_argument("categories[].group: '" + std::string(word) + "' is unknown");
+  const std::string_view value = text(object, "group");
+  if (value == "all") return DedupScope::kAll;
+  if (value == "zone") return DedupScope::kZone;
+  if (value == "cell") return DedupScope::kCell;
+  throw std::invalid_argument("categories[].group is '" + std::string(value) +
+                              "' and must be all, zone or cell");
 }
 
 Idempotency read_idempotency(const Value& object) {
-  const std::string_view word = text(object, "effect");
-  if (word == "safe") return Idempotency::kIdempotent;
-  if (word == "keyed") return Idempotency::kIdempotencyKey;
-  if (word == "unsafe") return Idempotency::kNonIdempotent;
-  throw std::invalid_argument("categories[].effect: '" + std::string(word) + "' is unknown");
+  const std::string_view value = text(object, "effect");
+  if (value == "safe") return Idempotency::kIdempotent;
+  if (value == "keyed") return Idempotency::kIdempotencyKey;
+  if (value == "unsafe") return Idempotency::kNonIdempotent;
+  throw std::invalid_argument("categories[].effect is '" + std::string(value) +
+                              "' and must be safe, keyed or unsafe");
 }
 
 RequestClass read_class(const Value& object) {
@@ -46,10 +48,10 @@
 }
 
 void read_replica(const Value& object, Settings& settings) {
-  settings.replica_index = whole(object, "position");
-  settings.replica_count = whole(object, "peersTotal");
-  settings.tier = whole_or(object, "stage", 0);
-  settings.zone = whole_or(object, "zone", 0);
+  settings.replica_index = integer(object, "position");
+  settings.replica_count = integer(object, "peersTotal");
+  settings.tier = integer_or(object, "stage", 0);
+  settings.zone = integer_or(object, "zone", 0);
   settings.clock_granularity = number_or(object, "granularity", 0);
 }
 
@@ -66,10 +68,11 @@
 }
 
 void read_bounds(const Value& bounds, Settings& settings) {
-  settings.max_attempts = whole_or(bounds, "maxAttempts", 1);
-  settings.allow_hedging = flag(bounds, "secondCopies");
-  settings.can_cancel = flag(bounds, "cancel");
-  settings.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
+  settings.max_attempts = integer_or(bounds, "maxAttempts", 1);
+  settings.allow_hedging = boolean_or_false(bounds, "secondCopies");
+  settings.can_cancel = boolean_or_false(bounds, "cancel");
+  settings.max_retry_after =
+      boolean_or_false(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
 }
 
 void read_rules(const Value& rules, Settings& settings) {
@@ -81,12 +84,12 @@
 
 }  // namespace
 
-// The order of the sections decides which of several errors is reported.
+// If several fields are invalid, the order of the sections decides which one is reported.
 Settings read_settings(const Value& object) {
   Settings settings;
   read_replica(object, settings);
   read_classes_and_tenants(object, settings);
-  read_bounds(need(object, "bounds"), settings);
+  read_bounds(require(object, "bounds"), settings);
   settings.must_watch =
       find(object, "registryMode") != nullptr && text(object, "registryMode") == "subscribe";
   if (const Value* rules = find(object, "rules")) read_rules(*rules, settings);
--- a/settings_json/settings_reader.h
+++ b/settings_json/settings_reader.h
@@ -1,8 +1,9 @@
-/// Reads the settings, which the simulator's wire and a real node's configuration hold in the same form.
+/// @file
+/// Reads the settings from JSON. The simulator's wire protocol and a node's configuration file share this
+/// form.
 ///
-/// This is the one place where the words of the pages ("aim", "giveUp", "effect", "realms" …) become the
-/// terms of the code. The words are part of the wire and keep their spelling; nothing behind this reader
-/// knows them.
+/// Only this reader maps the external field names ("aim", "giveUp", "effect", "realms" ...) to the names in
+/// nettleyoke::Settings. The external names are part of the wire protocol and must not change.
 #pragma once
 
 #include "json_fields.h"
@@ -10,9 +11,10 @@
 
 namespace nettleyoke::json {
 
-/// Reads the settings without checking their ranges, which is `validate`'s task.
-/// @throws FieldError for a field that is missing or of the wrong type.
-/// @throws std::invalid_argument for a word that isn't known, as the library does for a value out of range.
+/// Reads the settings. Does not check their ranges; nettleyoke::validate() does.
+/// @throws FieldError if a field is missing or has the wrong type.
+/// @throws std::invalid_argument if a field has none of its named values, as validate() does for a value out
+/// of range.
 [[nodiscard]] Settings read_settings(const Value& object);
 
 }  // namespace nettleyoke::json
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// nettleyoke_adapter: speaks the simulator's wire on standard input and output, one line of JSON in, one
-/// out.
+/// nettleyoke_adapter: implements the simulator's wire protocol on standard input and output. Each line of
+/// JSON is answered by one line.
 #include <cstdint>
 #include <cstdio>
 #include <exception>
@@ -17,9 +17,9 @@
 namespace adapter = nettleyoke::simulator_adapter;
 
 constexpr int kOutputFailed = 1;
-constexpr int kBadInput = 2;
+constexpr int kInvalidInput = 2;
 
-/// Writes one line at once; the simulator waits for it.
+/// Writes and flushes one line; the simulator waits for it.
 [[nodiscard]] bool write_line(std::string_view reply) {
   std::fwrite(reply.data(), 1, reply.size(), stdout);
   std::fputc('\n', stdout);
@@ -42,11 +42,11 @@
     try {
       const rapidjson::Document batch = adapter::parse_line(line);
       turn = std::to_string(adapter::read_turn(batch));
-      if (!write_line(host.answer(batch))) return kOutputFailed;
-    } catch (const std::exception& problem) {
+      if (!write_line(host.execute_batch(batch))) return kOutputFailed;
+    } catch (const std::exception& error) {
       std::fprintf(stderr, "nettleyoke_adapter: line %llu, turn %s: %s\n",
-                   static_cast<unsigned long long>(line_number), turn.c_str(), problem.what());
-      return kBadInput;
+                   static_cast<unsigned long long>(line_number), turn.c_str(), error.what());
+      return kInvalidInput;
     }
   }
   return 0;
--- a/simulator_adapter/replica_host.h
+++ b/simulator_adapter/replica_host.h
@@ -1,6 +1,6 @@
 /// @file
-/// Hosts replicas of the decision library for the simulator. It passes events to the library and its actions
-/// back; every decision is the library's.
+/// Hosts replicas of the decision library for the simulator: passes events to the library and returns the
+/// library's actions. It makes no decisions.
 #pragma once
 
 #include <map>
@@ -18,19 +18,19 @@
 
 class ReplicaHost {
  public:
-  /// Answers one batch.
-  /// @return the reply's line, valid until the next call
-  /// @throws json::BadMessage when the batch is not as the wire has it
-  [[nodiscard]] std::string_view answer(const json::Value& document);
+  /// Executes the instructions of one batch.
+  /// @return the reply as one line, valid until the next call
+  /// @throws json::InvalidMessage if the batch violates the wire protocol
+  [[nodiscard]] std::string_view execute_batch(const json::Value& document);
 
  private:
-  void handle_replica(double now, const ReplicaBatch& batch);
+  void execute_replica_batch(double now, const ReplicaBatch& batch);
   void execute(double now, const Instruction& instruction, std::unique_ptr<Balancer>& balancer);
 
-  std::map<int, std::unique_ptr<Balancer>> replicas_;  // by id; empty while switched off
+  std::map<int, std::unique_ptr<Balancer>> replicas_;  // by id; null while stopped
   WireReader reader_;
   WireWriter writer_;
-  std::vector<Action> actions_;  // of the replica that is being handled
+  std::vector<Action> actions_;  // of the current replica
 };
 
 }  // namespace nettleyoke::simulator_adapter
--- a/simulator_adapter/wire_reader.h
+++ b/simulator_adapter/wire_reader.h
@@ -1,6 +1,6 @@
 /// @file
-/// The simulator's wire, read: one line of JSON holds a batch of instructions for several replicas.
-/// This is the only place that knows the wire's words for what comes in; it decides nothing.
+/// Reads the simulator's wire protocol: each line of JSON is a batch of instructions for several replicas.
+/// Only this reader uses the protocol's names for input. It makes no decisions.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,11 @@
 
 namespace nettleyoke::simulator_adapter {
 
-/// A batch, as far as it concerns all replicas. It refers to the document that it was read from.
+/// The fields that all replicas of a batch share. It refers to the document from which it was read.
 struct Batch {
-  std::uint64_t turn = 0;                 ///< repeated in the reply
-  double now = 0;                         ///< s on the simulator's clock
-  const json::Value* replicas = nullptr;  ///< an array; read_replica() reads its items
+  std::uint64_t turn = 0;                 ///< number of the batch; repeated in the reply
+  double now = 0;                         ///< time of the simulator's clock, s
+  const json::Value* replicas = nullptr;  ///< an array; read_replica_batch() reads its items
 };
 
 /// The instructions of a batch for one replica.
@@ -28,46 +28,47 @@
   const json::Value* instructions = nullptr;  ///< an array; WireReader::read() reads its items
 };
 
-/// A replica starts, with no memory of what it was before.
+/// Starts a replica, without any state of an earlier instance.
 struct StartReplica {
   const json::Value* settings = nullptr;  ///< in the form that json::read_settings() takes
   std::uint64_t seed = 0;
 };
 
-/// A replica is switched off.
+/// Stops a replica.
 struct StopReplica {};
 
-/// What a replica is to do: start, stop, or take an event.
+/// Tells a replica to start, to stop, or to handle an event.
 using Instruction = std::variant<StartReplica, StopReplica, Event>;
 
 /// Parses a line in place and returns the document, which refers to the line.
-/// @throws json::BadMessage when the line is not JSON
+/// @throws json::InvalidMessage if the line is not JSON
 [[nodiscard]] rapidjson::Document parse_line(std::string& line);
 
-/// @throws json::BadMessage when the batch has no turn
+/// Reads the number of a batch.
+/// @throws json::InvalidMessage if it is missing or has another type
 [[nodiscard]] std::uint64_t read_turn(const json::Value& document);
 
-/// @throws json::BadMessage when a field is missing or of another type
+/// @throws json::InvalidMessage if a field is missing or has another type
 [[nodiscard]] Batch read_batch(const json::Value& document);
 
-/// @throws json::BadMessage when a field is missing or of another type
-[[nodiscard]] ReplicaBatch read_replica(const json::Value& document);
+/// @throws json::InvalidMessage if a field is missing or has another type
+[[nodiscard]] ReplicaBatch read_replica_batch(const json::Value& document);
 
-/// Reads instructions one after the other. Owns the numbered endpoint lists, which the wire sends once for
-/// all replicas and refers to by number from then on.
+/// Reads instructions one after another. Owns the endpoint lists, which the protocol sends once for all
+/// replicas and afterwards refers to by number.
 class WireReader {
  public:
   /// Reads one instruction.
-  /// @return nothing for an endpoint list, which is kept, and for kinds that no replica takes
-  /// @throws json::BadMessage when a field is missing, of another type or has an unknown word
+  /// @return empty for an endpoint list, which is stored, and for kinds that no replica handles
+  /// @throws json::InvalidMessage if a field is missing, has another type or an invalid value
   [[nodiscard]] std::optional<Instruction> read(const json::Value& instruction);
 
  private:
-  void keep_endpoint_list(const json::Value& instruction);
+  void store_endpoint_list(const json::Value& instruction);
   [[nodiscard]] std::optional<Event> read_event(std::string_view kind, const json::Value& instruction) const;
   [[nodiscard]] MembershipUpdate read_membership_update(const json::Value& instruction) const;
 
-  std::map<int, std::vector<Server>> endpoint_lists_;
+  std::map<int, std::vector<Server>> endpoint_lists_;  // by number
 };
 
 }  // namespace nettleyoke::simulator_adapter
--- a/simulator_adapter/wire_writer.cpp
+++ b/simulator_adapter/wire_writer.cpp
@@ -55,11 +55,11 @@
     field("noteText", action.text);
     json_.EndObject();
   }
-  /// An exception of the library, which the simulator wants to hear of.
-  void write_fault(const std::string& fault) const {
+  /// Reports an exception of the library.
+  void write_panic(const std::string& error) const {
     start("PANIC");
     json_.Key("noteText");
-    json_.String(fault.c_str());
+    json_.String(error.c_str());
     json_.EndObject();
   }
 
@@ -94,8 +94,8 @@
 }
 
 void WireWriter::add_replica(int replica_id, const std::vector<Action>& actions,
-                             const std::optional<std::string>& fault) {
-  if (actions.empty() && !fault) return;
+                             const std::optional<std::string>& error) {
+  if (actions.empty() && !error) return;
   json_.StartObject();
   json_.Key("who");
   json_.Int(replica_id);
@@ -103,7 +103,7 @@
   json_.StartArray();
   const ActionWriter writer(json_);
   for (const Action& action : actions) std::visit(writer, action);
-  if (fault) writer.write_fault(*fault);
+  if (error) writer.write_panic(*error);
   json_.EndArray();
   json_.EndObject();
 }
--- a/simulator_adapter/wire_writer.h
+++ b/simulator_adapter/wire_writer.h
@@ -1,6 +1,6 @@
 /// @file
-/// The simulator's wire, written: one line of JSON with the actions of each replica.
-/// This is the only place that knows the wire's words for what goes out; it decides nothing.
+/// Writes the simulator's wire protocol: the reply to a batch is one line of JSON with the actions of each
+/// replica. Only this writer uses the protocol's names for output. It makes no decisions.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,21 @@
 
 namespace nettleyoke::simulator_adapter {
 
-/// Writes one reply at a time into a buffer that it keeps: begin(), add_replica() for each replica that has
-/// something to say, end(). A reply that was begun and not ended is dropped by the next begin().
+/// Writes one reply at a time into a reused buffer: begin(), add_replica() for each replica, end(). begin()
+/// discards an unfinished reply.
 class WireWriter {
  public:
+  /// @param turn Number of the batch.
   void begin(std::uint64_t turn);
 
-  /// Adds what a replica did. Nothing is written for one that did nothing.
-  /// @param fault what the library threw, if it did
+  /// Adds the actions of a replica. A replica without actions and error is left out of the reply.
+  /// @param error Message of the exception that the library threw, if any.
   void add_replica(int replica_id, const std::vector<Action>& actions,
-                   const std::optional<std::string>& fault);
+                   const std::optional<std::string>& error);
 
   void end();
 
-  /// The reply, without a line's end. Valid until the next begin().
+  /// The reply, without a newline. Valid until the next begin().
   [[nodiscard]] std::string_view reply() const { return {buffer_.GetString(), buffer_.GetSize()}; }
 
  private:
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -60,11 +60,12 @@
 TEST_F(ConfigFile, FieldWrong_Read_ErrorNamesItAndTheReason) {
   EXPECT_EQ(error(), "RELAY_CONFIG|cannot read " + path + "|RELAY_CONFIG: cannot read " + path);
   write_with("\"ff\"", "\"fx\"");
-  EXPECT_EQ(error(), "seed|is not a hexadecimal number|field 'seed' is not a hexadecimal number");
+  EXPECT_EQ(error(), "seed|must be a hexadecimal number|field 'seed' must be a hexadecimal number");
   write_with("256", "63");
-  EXPECT_EQ(error(), "sockets|is not at least 64|field 'sockets' is not at least 64");
+  EXPECT_EQ(error(), "sockets|must be at least 64|field 'sockets' must be at least 64");
   write_with("safe", "odd");
-  EXPECT_EQ(error(), "settings|categories[].effect: 'odd' is unknown|categories[].effect: 'odd' is unknown");
+  const std::string effect_error = "categories[].effect is 'odd' and must be safe, keyed or unsafe";
+  EXPECT_EQ(error(), "settings|" + effect_error + "|" + effect_error);
   write_with("\"seed\"", R"("known":{},"seed")");
   EXPECT_EQ(error(), "known|field 'index' is missing|known: field 'index' is missing");
 }
--- a/tests/unit/fleet_slow_start_test.cpp
+++ b/tests/unit/fleet_slow_start_test.cpp
@@ -313,7 +313,7 @@
   EXPECT_EQ(served_rate(R"(,"tipMultiple":4)"), usual);
   EXPECT_NEAR(served_rate(R"(,"tipMultiple":1)"), usual / 2, 0.03);
   EXPECT_THROW(served_rate(R"(,"tipMultiple":-1)"), std::invalid_argument);
-  EXPECT_THROW(served_rate(R"(,"tipMultiple":"4")"), json::BadMessage);
+  EXPECT_THROW(served_rate(R"(,"tipMultiple":"4")"), json::InvalidMessage);
 }
 
 }  // namespace
