--- a/tests/unit/attempt_parts_test.cpp
+++ b/tests/unit/attempt_parts_test.cpp
@@ -1,4 +1,6 @@
-// The rules of attempts by themselves: timeout, idempotency, retry budget, latency of a class.
+/// @file
+/// The parts that decide about attempts: attempt timeout, idempotency rules, retry budget, latency estimate,
+/// request classes.
 #include <gtest/gtest.h>
 
 #include "attempts/attempt_timeout.h"
@@ -10,7 +12,8 @@
 namespace nettleyoke {
 namespace {
 
-// An objective of 4 s: the latency is estimated at 1 s in the mean, an attempt is clearly late after 4 s.
+// A request with a latency objective of 4 s: its latency estimate starts with a mean of 1 s, and an attempt
+// is clearly late after 4 s. A response is useful until 110 s.
 RequestState request_of(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
   Settings settings = basic_settings(class_of(idempotency, scope));
   settings.classes[0].latency_objective = 4;
@@ -23,22 +26,23 @@
   return request;
 }
 
-TEST(AttemptTimeout, AnAttemptEndsOnceItIsClearlyLateWhileAnotherCanFollow) {
+TEST(AttemptTimeout, AttemptTimesOutWhenItIsClearlyLateIfARetryIsPossible) {
   RequestState request = request_of(Idempotency::kIdempotent);
   EXPECT_DOUBLE_EQ(attempt_timeout(100, request), 4);
-  EXPECT_DOUBLE_EQ(attempt_timeout(105.5, request), 4.5) << "no time for another";
+  EXPECT_DOUBLE_EQ(attempt_timeout(105.5, request), 4.5) << "no time for a retry";
   request.attempts.push_back({0, 100});
-  EXPECT_DOUBLE_EQ(attempt_timeout(100, request), 10) << "the last one";
+  EXPECT_DOUBLE_EQ(attempt_timeout(100, request), 10) << "the last attempt";
   EXPECT_DOUBLE_EQ(attempt_timeout(100, request_of(Idempotency::kNonIdempotent)), 10);
 }
 
-TEST(IdempotencyRules, OnlyRejectedUnconnectedAndUnsentAttemptsNeverRan) {
+TEST(IdempotencyRules, OnlyRejectedUnconnectedAndUnsentAttemptsProveThatTheyNeverRan) {
   for (int outcome = 0; outcome <= static_cast<int>(Outcome::kUnknown); ++outcome) {
-    EXPECT_EQ(proves_never_ran(static_cast<Outcome>(outcome)), proves_unrun(static_cast<Outcome>(outcome)));
+    EXPECT_EQ(proves_never_ran(static_cast<Outcome>(outcome)),
+              expected_to_prove_never_ran(static_cast<Outcome>(outcome)));
   }
 }
 
-TEST(IdempotencyRules, AnAttemptMayFollowOneThatMayHaveRunWithinTheScopeAndTimeOfDuplicates) {
+TEST(IdempotencyRules, RetryIsAllowedOnlyWhereItCannotRepeatTheEffectsOfTheRequest) {
   const Server earlier = server(0, 1, 2);
   const auto allows = [&](Idempotency idempotency, DedupScope scope, const Server& candidate, double now) {
     return allows_attempt_after(now, class_of(idempotency, scope), {0, 100}, earlier, candidate);
@@ -54,14 +58,14 @@
   EXPECT_FALSE(allows(Idempotency::kIdempotencyKey, DedupScope::kZone, elsewhere, 104));
   EXPECT_TRUE(allows(Idempotency::kIdempotencyKey, DedupScope::kAll, elsewhere, 104));
   EXPECT_FALSE(allows(Idempotency::kIdempotencyKey, DedupScope::kAll, same_cell, 104.1))
-      << "the window is over";
+      << "the dedup window has ended";
   AttemptRecord never_ran{0, 100};
   never_ran.may_have_run = false;
   EXPECT_TRUE(
       allows_attempt_after(200, class_of(Idempotency::kNonIdempotent), never_ran, earlier, elsewhere));
 }
 
-TEST(IdempotencyRules, ARetryWithAKeyHasToBeSentBeforeTheFirstAttemptsWindowEnds) {
+TEST(IdempotencyRules, RetryWithAKeyMustBeSentWithinTheDedupWindowOfTheFirstAttempt) {
   RequestState request = request_of(Idempotency::kIdempotencyKey);
   EXPECT_EQ(retry_send_limit(101, request), std::nullopt);
   request.attempts = {{0, 100}, {1, 101}};
@@ -70,10 +74,10 @@
   EXPECT_EQ(retry_send_limit(101, request), 4);
 }
 
-TEST(IdempotencyRules, ARequestThatMayHaveRunIsRejectedOnlyWhereARetryIsHarmless) {
+TEST(IdempotencyRules, RequestThatMayHaveRunIsRejectedOnlyIfAClientRetryIsHarmless) {
   const auto may_reject_after_attempt = [](Idempotency idempotency, DedupScope scope) {
     RequestState request = request_of(idempotency, scope);
-    EXPECT_TRUE(may_reject(request)) << "nothing has run";
+    EXPECT_TRUE(may_reject(request)) << "no attempt has run";
     request.attempts.push_back({0, 100});
     return may_reject(request);
   };
@@ -86,7 +90,7 @@
 TEST(RetryBudget, RetriesStopWhenTheBudgetIsSpentUntilFirstAttemptsRefillIt) {
   const RequestState request = request_of(Idempotency::kIdempotent);
   RetryBudget budget;
-  budget.on_first_attempt();  // it is full
+  budget.on_first_attempt();  // the budget is full already
   for (int i = 0; i < 6; ++i) {
     EXPECT_TRUE(budget.allows_retry(100, request));
     budget.on_retry();
@@ -96,11 +100,11 @@
   EXPECT_TRUE(budget.allows_retry(100, request));
 }
 
-TEST(RetryBudget, ARequestThatCannotBeSentAgainOrHasNoTimeIsNotRetried) {
+TEST(RetryBudget, RequestWithoutTimeBodyOrAttemptsLeftIsNotRetried) {
   const RetryBudget budget;
   RequestState request = request_of(Idempotency::kIdempotent);
   EXPECT_TRUE(budget.allows_retry(109.4, request));
-  EXPECT_FALSE(budget.allows_retry(109.6, request)) << "less time than half of the usual latency";
+  EXPECT_FALSE(budget.allows_retry(109.6, request)) << "less time left than half the mean latency";
   request.body_consumed = true;
   EXPECT_FALSE(budget.allows_retry(100, request));
   request.body_consumed = false;
@@ -108,8 +112,8 @@
   EXPECT_FALSE(budget.allows_retry(102, request)) << "all attempts are used";
 }
 
-TEST(LatencyEstimate, ATimeoutSaysTheMoreTheLaterItComesAndItsSampleIsBounded) {
-  const LatencyEstimate latency(4);  // 1 s in the mean, a deviation of 0.5 s
+TEST(LatencyEstimate, LaterTimeoutWeighsMoreAndItsSampleIsBounded) {
+  const LatencyEstimate latency(4);  // a mean of 1 s, a deviation of 0.5 s
   EXPECT_EQ(latency.timeout_weight(0.4), 0);
   EXPECT_EQ(latency.timeout_weight(1), 0.5);
   EXPECT_EQ(latency.timeout_weight(1.5), 1);
--- a/tests/unit/balancer_admission_test.cpp
+++ b/tests/unit/balancer_admission_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Admission of tenants' requests: the suppression factor, the sliding window and the learned rate limit.
+/// Admission of tenants' requests: suppression factor, sliding window and learned rate limit.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -30,19 +30,20 @@
   return settings;
 }
 
-// Sends requests at a steady rate, each answered at once; returns how many were admitted.
-int offer(ReplicaUnderTest& replica, double from, double seconds, double rate, const std::string& prefix,
-          Outcome outcome = Outcome::kSucceeded) {
+// Sends requests at a steady rate and ends each attempt at once: the first of a request with `outcome`, a
+// retry with success. Returns the number of admitted requests.
+int send_requests(ReplicaUnderTest& replica, double from, double seconds, double rate,
+                  const std::string& prefix, Outcome outcome = Outcome::kSucceeded) {
   int admitted = 0;
-  const int calls = static_cast<int>(seconds * rate);
-  for (int i = 0; i < calls; ++i) {
+  const int requests = static_cast<int>(seconds * rate);
+  for (int i = 0; i < requests; ++i) {
     replica.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
     if (actions_of<StartAttempt>(replica.request(id)).empty()) continue;
     ++admitted;
-    const auto after = replica.end_attempt(id, outcome);
-    for (const StartAttempt& again : actions_of<StartAttempt>(after))
-      replica.end_attempt(again.id, Outcome::kSucceeded, 1);
+    const auto actions = replica.end_attempt(id, outcome);
+    for (const StartAttempt& retry : actions_of<StartAttempt>(actions))
+      replica.end_attempt(retry.id, Outcome::kSucceeded, 1);
   }
   return admitted;
 }
@@ -50,17 +51,17 @@
 TEST(Admission, BelowTheRateLimitAllRequestsAreAdmitted) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
-  EXPECT_EQ(offer(replica, 0, 10, 50, "a"), 500);
+  EXPECT_EQ(send_requests(replica, 0, 10, 50, "a"), 500);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
 }
 
-TEST(Admission, AboveTheRateLimitTheExcessIsThrottled) {
+TEST(Admission, RequestsAboveTheRateLimitAreRejected) {
   Settings settings = one_tenant(10);
-  settings.over_quota_weight = 0;  // the rate limit stays where it starts
+  settings.over_quota_weight = 0;  // the rate limit does not rise above its initial value
   ReplicaUnderTest replica(settings);
   replica.at(0, members(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
-  const int admitted = offer(replica, 0, 8, 4 * limit, "a");
+  const int admitted = send_requests(replica, 0, 8, 4 * limit, "a");
   const TenantStatistics statistics = replica.balancer.tenant(replica.now, 0);
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
@@ -68,13 +69,13 @@
   EXPECT_GT(statistics.rejected, 0);
 }
 
-// Servers that fail at any load must not cut tenants down to a part of their quota.
+// Servers can fail at any load, so their failures must not limit tenants to a fraction of their quota.
 TEST(Admission, ServerErrorsAndBrokenResponsesDoNotLowerTheRateLimit) {
   for (const Outcome outcome : {Outcome::kServerError, Outcome::kUnknown, Outcome::kReset}) {
     ReplicaUnderTest replica(one_tenant(10));
     replica.at(0, members(4));
     const double limit = replica.balancer.tenant(0, 0).rate_limit;
-    offer(replica, 0, 4, 5, "a", outcome);
+    send_requests(replica, 0, 4, 5, "a", outcome);
     EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, limit);
   }
 }
@@ -82,30 +83,31 @@
 TEST(Admission, RateLimitNeverFallsBelowTheQuota) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
-  offer(replica, 0, 20, 9, "a", Outcome::kRejected);
+  send_requests(replica, 0, 20, 9, "a", Outcome::kRejected);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
 }
 
-// A tenant within its quota must find a server also where one far over its own holds all the capacity.
-TEST(Admission, TenantWithinItsQuotaIsAdmittedWhileAnotherHoldsAllCapacity) {
+// A tenant that far exceeds its quota can use all capacity. Requests of a tenant within its quota must still
+// be sent.
+TEST(Admission, TenantWithinItsQuotaIsAdmittedWhileAnotherUsesAllCapacity) {
   Settings settings = basic_settings();
   settings.tenants = {{2.0}, {2.0}};
   settings.over_quota_weight = 0.05;
   ReplicaUnderTest replica(settings);
   replica.at(0, members(6));
-  replica.now = 30;  // nothing of the capacity at the start is left
-  const auto attempts_of = [&](const std::string& prefix, std::size_t tenant, int calls) {
+  replica.now = 30;  // the extra capacity at the start has expired
+  const auto count_attempts = [&](const std::string& prefix, std::size_t tenant, int requests) {
     std::size_t attempts = 0;
-    for (int i = 0; i < calls; ++i)
+    for (int i = 0; i < requests; ++i)
       attempts += actions_of<StartAttempt>(replica.request(prefix + std::to_string(i), tenant)).size();
     return attempts;
   };
-  EXPECT_GT(attempts_of("flood", 0, 14), 8U) << "its quota of the window, and more";
-  EXPECT_EQ(attempts_of("more", 0, 3), 0U) << "all capacity is in use";
-  EXPECT_GT(attempts_of("within", 1, 3), 0U);
+  EXPECT_GT(count_attempts("flood", 0, 14), 8U) << "more than its quota in the window";
+  EXPECT_EQ(count_attempts("more", 0, 3), 0U) << "all capacity is in use";
+  EXPECT_GT(count_attempts("within", 1, 3), 0U);
 }
 
-TEST(Admission, AtTheHardLimitAllRequestsAreThrottled) {
+TEST(Admission, AtTheHardLimitAllRequestsAreRejected) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
@@ -130,17 +132,17 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).suppression_factor, 0);
 }
 
-// The factor is cached for 100 ms: a flood within that time is met with the factor from before it.
+// The factor is cached for 100 ms: during that time, a burst of requests is rejected with the earlier factor.
 TEST(Admission, SuppressionFactorIsCached) {
   Settings settings = one_tenant(100);
   settings.over_quota_weight = 0;
   ReplicaUnderTest replica(settings);
   replica.at(0, members(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
-  const int soft_limit = static_cast<int>(std::ceil(4 * limit));  // the window's seconds
-  const auto admitted_of = [&](double time, int calls, const std::string& prefix) {
+  const int soft_limit = static_cast<int>(std::ceil(4 * limit));  // the window is 4 s long
+  const auto count_admitted = [&](double time, int requests, const std::string& prefix) {
     int admitted = 0;
-    for (int i = 0; i < calls; ++i) {
+    for (int i = 0; i < requests; ++i) {
       replica.now = time;
       const std::string id = prefix + std::to_string(i);
       if (actions_of<StartAttempt>(replica.request(id)).empty()) continue;
@@ -149,15 +151,15 @@
     }
     return admitted;
   };
-  EXPECT_EQ(admitted_of(0, soft_limit, "fill"), soft_limit);
-  EXPECT_NEAR(admitted_of(0.01, 1000, "cached"), 250,
-              60);  // the factor from when the flood began: three quarters
+  EXPECT_EQ(count_admitted(0, soft_limit, "fill"), soft_limit);
+  // The cached factor, from the start of the burst, is three quarters.
+  EXPECT_NEAR(count_admitted(0.01, 1000, "cached"), 250, 60);
   const double factor = replica.balancer.tenant(0.12, 0).suppression_factor;
   EXPECT_GT(factor, 0.85);
-  EXPECT_NEAR(admitted_of(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
+  EXPECT_NEAR(count_admitted(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
 }
 
-TEST(Admission, ThrottledRequestIsRejectedWithoutAnAttempt) {
+TEST(Admission, RequestOverTheRateLimitIsRejectedWithoutAnAttempt) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
   int rejected = 0;
@@ -177,35 +179,37 @@
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
   const double before = replica.balancer.tenant(0, 0).rate_limit;
-  offer(replica, 0, 10, before * 0.9, "a");
+  send_requests(replica, 0, 10, before * 0.9, "a");
   EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
   EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before * 2);
 }
 
-TEST(RateLimit, FallsWithRejectionsDownToAFloor) {
+TEST(RateLimit, FallsWithServerRejectionsDownToAFloor) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
-  offer(replica, 0, 40, 120, "up");
+  send_requests(replica, 0, 40, 120, "up");
   const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
   ASSERT_GT(before, 130);
-  offer(replica, 40, 5, before, "a", Outcome::kRejected);
+  send_requests(replica, 40, 5, before, "a", Outcome::kRejected);
   EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
-  offer(replica, 45, 60, 50, "b", Outcome::kRejected);
-  EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 25) << "a quarter of the part of the quota";
+  send_requests(replica, 45, 60, 50, "b", Outcome::kRejected);
+  EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 25)
+      << "a quarter of this replica's share of the quota";
 }
 
-// Requests that end within a feedback delay were sent under the old limit and say nothing of the new one.
-TEST(RateLimit, OneSecondOfRejectionsTakesAPartOfIt) {
+// Requests that end within a feedback delay were sent under the previous limit and are no evidence about the
+// new one.
+TEST(RateLimit, FallsByAFractionInOneSecondOfRejections) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
   const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
-  offer(replica, 0, 1, before, "a", Outcome::kRejected);
+  send_requests(replica, 0, 1, before, "a", Outcome::kRejected);
   const double after = replica.balancer.tenant(replica.now, 0).rate_limit;
   EXPECT_LT(after, before * 0.9);
   EXPECT_GT(after, before * 0.5);
 }
 
-// Where everything turns slow together, cutting all tenants to the same floor would leave servers idle.
+// If everything slows down together, lowering all tenants to the same floor would leave servers idle.
 TEST(RateLimit, SlowResponsesDoNotLowerIt) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
--- a/tests/unit/balancer_body_test.cpp
+++ b/tests/unit/balancer_body_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests whose body is still being sent, and responses in progress.
+/// Requests whose body is still arriving, and responses in progress.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -17,7 +17,8 @@
   return request;
 }
 
-// Clients that take seconds to send, or to read a response, would use up what the tier may have in flight.
+// Clients that take seconds to send a body or to read a response would otherwise use up the concurrency limit
+// of the tier.
 TEST(BodyInProgress, DoesNotCountAsInFlight) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(1));
@@ -27,10 +28,10 @@
               1U)
         << i;
   EXPECT_EQ(actions_of<StartAttempt>(replica.request("r")).size(), 1U);
-  // Once they are complete they count, and others are rejected.
+  // Once their bodies are complete, the requests count as in flight, and further requests are rejected.
   for (int i = 0; i < 50; ++i) replica.at(0, RequestBodyComplete{"c" + std::to_string(i)});
   EXPECT_EQ(actions_of<Reject>(replica.request("late")).size(), 1U);
-  // A request whose response has started counts no more.
+  // Once its response has started, a request no longer counts as in flight.
   for (int i = 0; i < 50; ++i) replica.at(0, ResponseStarted{"c" + std::to_string(i), 0, 0.1});
   EXPECT_EQ(actions_of<StartAttempt>(replica.request("capacity")).size(), 1U);
   for (int i = 0; i < 50; ++i) {
@@ -46,10 +47,10 @@
   replica.at(0, members(2));
   ASSERT_EQ(actions_of<StartAttempt>(replica.at(0, request_with_body_in_progress("c"))).size(), 1U);
   replica.at(20, RequestBodyComplete{"c"});
-  const auto again =
+  const auto retries =
       actions_of<StartAttempt>(replica.at(20.5, AttemptResult{"c", 0, Outcome::kRejected, 0.5}));
-  ASSERT_EQ(again.size(), 1U) << "20 s of sending are not subtracted";
-  EXPECT_LE(again[0].timeout, 5.5);
+  ASSERT_EQ(retries.size(), 1U) << "the 20 s that the body took are not subtracted";
+  EXPECT_LE(retries[0].timeout, 5.5);
 }
 
 TEST(BodyInProgress, ConsumedBodyIsNotRetried) {
@@ -60,7 +61,7 @@
   failed.body_consumed = true;
   const auto actions = replica.at(0.1, failed);
   EXPECT_TRUE(actions_of<StartAttempt>(actions).empty());
-  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "it never ran";
+  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "the attempt never ran";
 }
 
 }  // namespace
--- a/tests/unit/balancer_capacity_test.cpp
+++ b/tests/unit/balancer_capacity_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Adaptive concurrency limits of a tier: what a replica has in flight, and when it rejects for that.
+/// Adaptive concurrency limits of a tier: how many requests a replica has in flight before it rejects further
+/// ones.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,25 +12,25 @@
 namespace nettleyoke {
 namespace {
 
-// Requests to a server that has stopped answering wait for nothing, and behind each other.
+// Requests to a server that has stopped responding wait in vain and queue behind each other.
 TEST(ConcurrencyLimit, BoundsRequestsInFlightAtSilentServers) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(3));
-  int sent = 0;
+  int attempts = 0;
   int rejected = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.01;
     const auto actions = replica.request(std::to_string(i));
-    sent += static_cast<int>(actions_of<StartAttempt>(actions).size());
+    attempts += static_cast<int>(actions_of<StartAttempt>(actions).size());
     rejected += static_cast<int>(actions_of<Reject>(actions).size());
   }
-  EXPECT_EQ(sent + rejected, 300);
-  EXPECT_GT(sent, 3);
-  EXPECT_LT(sent, 40);
+  EXPECT_EQ(attempts + rejected, 300);
+  EXPECT_GT(attempts, 3);
+  EXPECT_LT(attempts, 40);
 }
 
-// What each of many replicas takes for a small start is an overload when all of them start together.
-TEST(ConcurrencyLimit, AtTheStartIsSharedByTheReplicas) {
+// An initial limit that is small at one replica would overload the servers if many replicas start together.
+TEST(ConcurrencyLimit, InitialLimitIsSharedByTheReplicas) {
   std::map<std::string, int> in_flight;
   for (int index = 0; index < 8; ++index) {
     Settings settings = settings_with_large_quota();
@@ -43,22 +44,23 @@
     }
   }
   EXPECT_EQ(in_flight.size(), 10U);
-  for (const auto& [address, calls] : in_flight) EXPECT_LE(calls, 16) << address;
+  for (const auto& [address, requests] : in_flight) EXPECT_LE(requests, 16) << address;
 }
 
-// At many replicas a server's capacity is a part of a request each; counted strictly, chance would reject.
+// With many replicas, each one's share of a server's capacity is less than one request. A strict limit would
+// reject requests that coincide by chance.
 TEST(ConcurrencyLimit, DoesNotRejectAFewRequestsByChance) {
   Settings settings = settings_with_large_quota();
   settings.replica_count = 500;
   settings.tenants = {{100000.0}};
   ReplicaUnderTest replica(settings);
   replica.at(0, members(100));
-  std::map<int, std::string> ends;  // by step
+  std::map<int, std::string> ends;  // ids of requests by the step in which they end
   int rejected = 0;
   for (int i = 0; i < 3000; ++i) {
     replica.now = 10 + i * 0.02;
     if (ends.count(i) != 0) replica.end_attempt(ends[i], Outcome::kSucceeded, 0, 0.4);
-    if (i % 25 > 1) continue;  // two calls close together, twice a second
+    if (i % 25 > 1) continue;  // two requests close together, twice a second
     const std::string id = std::to_string(i);
     const auto actions = replica.request(id);
     rejected += static_cast<int>(actions_of<Reject>(actions).size());
@@ -67,7 +69,7 @@
   EXPECT_EQ(rejected, 0);
 }
 
-// A rejection behind the first tier throws away the work that was done above it.
+// A rejection behind the first tier wastes the work that the tiers in front of it have done.
 TEST(ConcurrencyLimit, RejectsNothingBehindTheFirstTier) {
   Settings settings = settings_with_large_quota();
   settings.tier = 1;
@@ -77,15 +79,15 @@
     EXPECT_EQ(actions_of<StartAttempt>(replica.request(std::to_string(i))).size(), 1U);
 }
 
-// Sends requests that nobody answers until one is rejected; returns how many attempts started.
+// Sends requests without ending them until one is rejected; returns the number of attempts.
 int attempts_until_rejected(ReplicaUnderTest& replica, const std::string& prefix) {
-  int sent = 0;
-  while (!actions_of<StartAttempt>(replica.request(prefix + std::to_string(sent))).empty()) ++sent;
-  return sent;
+  int attempts = 0;
+  while (!actions_of<StartAttempt>(replica.request(prefix + std::to_string(attempts))).empty()) ++attempts;
+  return attempts;
 }
 
-// Behind the first tier capacity is a wish; a failing server with capacity must not come before a healthy one
-// without.
+// Behind the first tier, free capacity is only a preference: a failing server with free capacity must not be
+// preferred to a healthy server without.
 TEST(ConcurrencyLimit, BehindTheFirstTierDoesNotOutweighEjection) {
   Settings settings = settings_with_large_quota();
   settings.tier = 1;
@@ -96,56 +98,58 @@
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
     const auto attempts = actions_of<StartAttempt>(replica.request(id));
-    if (attempts.empty() || attempts[0].server != "s2") continue;  // the others never answer
+    if (attempts.empty() || attempts[0].server != "s2") continue;  // the other servers never respond
     to_failing += i >= 50 ? 1 : 0;
     replica.end_attempt(id, Outcome::kServerError);
   }
   EXPECT_LT(to_failing, 40);
 }
 
-// Over many replicas, the margin that chance needs at each is an overload; it is given in calm only.
+// The margin for requests that coincide by chance adds up to an overload over many replicas, so it applies
+// only while responses are fast.
 TEST(ConcurrencyLimit, MarginForChanceShrinksWithSlowResponses) {
-  const auto capacity_after_responses_of = [](double answer) {
+  const auto capacity_after_responses_of = [](double later_latency) {
     ReplicaUnderTest replica(settings_with_large_quota());
     replica.at(0, members(20));
     for (int i = 0; i < 200; ++i) {
       replica.now = i * 0.2;
       const std::string id = "a" + std::to_string(i);
       if (!actions_of<StartAttempt>(replica.request(id)).empty())
-        replica.end_attempt(id, Outcome::kSucceeded, 0, i < 100 ? 0.4 : answer);
+        replica.end_attempt(id, Outcome::kSucceeded, 0, i < 100 ? 0.4 : later_latency);
     }
     return attempts_until_rejected(replica, "b");
   };
   EXPECT_GT(capacity_after_responses_of(0.4), capacity_after_responses_of(1.9));
 }
 
-// A bound rounded up to a whole request at each of many replicas would be far above the bound over all of
-// them.
-TEST(ConcurrencyLimit, OverloadIsThinnedBelowOneRequestAReplica) {
+// If each of many replicas rounded its share of a limit up to one request, all together would far exceed the
+// limit.
+TEST(ConcurrencyLimit, ShareBelowOneRequestPerReplicaRejectsAFractionUnderOverload) {
   Settings settings = settings_with_large_quota();
   settings.replica_count = 500;
   settings.tenants = {{1000000.0}};
   ReplicaUnderTest replica(settings);
   replica.at(0, members(20));
-  const auto admitted = [&](double from, double answer) {
-    int sent = 0;
+  const auto count_admitted = [&](double from, double latency) {
+    int admitted = 0;
     for (int i = 0; i < 200; ++i) {
-      replica.now = from + i;  // one call at a time, too few to fill a rate of answers
+      replica.now = from + i;  // one request at a time: too few for a response rate
       const std::string id = std::to_string(replica.now);
       if (actions_of<StartAttempt>(replica.request(id)).empty()) continue;
-      ++sent;
-      replica.end_attempt(id, Outcome::kSucceeded, 0, answer);
+      ++admitted;
+      replica.end_attempt(id, Outcome::kSucceeded, 0, latency);
     }
-    return sent;
+    return admitted;
   };
-  EXPECT_EQ(admitted(0, 0.3), 200) << "in calm there is a margin for chance";
-  const int overloaded = admitted(1000, 1.9);
-  EXPECT_GT(overloaded, 20) << "or the end of the overload would never be seen";
-  EXPECT_LT(overloaded, 190);
+  EXPECT_EQ(count_admitted(0, 0.3), 200) << "while responses are fast there is a margin for chance";
+  const int admitted = count_admitted(1000, 1.9);
+  EXPECT_GT(admitted, 20) << "enough requests to observe the end of the overload";
+  EXPECT_LT(admitted, 190);
 }
 
-// The requests that start at once after a calm and a while in which the first servers respond slowly.
-int capacity_after(int slow_servers, double slow_answer) {
+// The number of requests in flight that are admitted after fast responses of all servers, then slow responses
+// of the first `slow_servers` servers.
+int capacity_after_slow_responses(int slow_servers, double slow_latency) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(4));
   for (int i = 0; i < 800; ++i) {
@@ -161,26 +165,27 @@
     const auto attempts = actions_of<StartAttempt>(replica.request(id));
     if (attempts.empty()) continue;
     const bool slow = std::stoi(attempts[0].server.substr(1)) < slow_servers;
-    replica.end_attempt(id, Outcome::kSucceeded, 0, slow ? slow_answer : 0.2);
+    replica.end_attempt(id, Outcome::kSucceeded, 0, slow ? slow_latency : 0.2);
   }
   return 4 + attempts_until_rejected(replica, "more");
 }
 
-// Once overloaded, a server stays slow for long; its requests would go to the others and overload them in
-// turn.
+// An overloaded server stays slow for long. Without a lower limit, its requests would move to the other
+// servers and overload them as well.
 TEST(ConcurrencyLimit, FallsWhenAllServersTurnSlow) {
-  const int calm = capacity_after(4, 0.2);
-  const int overloaded = capacity_after(4, 0.5);
-  EXPECT_GT(calm, 8);
+  const int fast = capacity_after_slow_responses(4, 0.2);
+  const int overloaded = capacity_after_slow_responses(4, 0.5);
+  EXPECT_GT(fast, 8);
   EXPECT_LE(overloaded, 6);
   EXPECT_GE(overloaded, 4);
 }
 
-// One that is slow by itself must not have the whole tier reject what the others can take.
-TEST(ConcurrencyLimit, DoesNotFallForOneSlowServer) { EXPECT_GT(capacity_after(1, 1.5), 8); }
+// A single slow server must not make the tier reject requests that the other servers can process.
+TEST(ConcurrencyLimit, DoesNotFallForOneSlowServer) { EXPECT_GT(capacity_after_slow_responses(1, 1.5), 8); }
 
-// Now and then a request gets no response, here or in a tier behind, and lasts as long as it may. By the mean
-// a few of those would make every server look slow, and the tier would reject what it can take.
+// Occasionally a request gets no response, from this tier or a tier behind it, and lasts until its timeout.
+// If the mean latency decided, a few such requests would make every server look slow, and the tier would
+// reject requests that it can process.
 TEST(ConcurrencyLimit, DoesNotFallForAFewStuckRequests) {
   for (const Outcome stuck : {Outcome::kTimedOut, Outcome::kSucceeded}) {
     ReplicaUnderTest replica(settings_with_large_quota());
--- a/tests/unit/balancer_harness.h
+++ b/tests/unit/balancer_harness.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the tests of the decision library share: settings and servers that serve most of them, and a balancer
-/// that remembers its clock and returns the actions of each event.
+/// Shared by the tests of the decision library: default settings and servers, and a balancer with a clock
+/// that returns the actions of each event.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace nettleyoke {
 
-/// A class of requests with a client timeout of 6 s; all other times are in seconds too.
+/// A request class with a latency objective of 2 s, a client timeout of 6 s and a dedup window of 4 s.
 inline RequestClass class_of(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
   RequestClass request_class;
   request_class.latency_objective = 2;
@@ -32,7 +32,7 @@
   return settings;
 }
 
-/// Server "s" with its number.
+/// The server with the address "s<number>".
 inline Server server(int number, int zone = 0, int cell = 0) {
   Server server;
   server.address = "s" + std::to_string(number);
@@ -41,19 +41,19 @@
   return server;
 }
 
-/// A complete list of servers s0, s1 ...
+/// A full endpoint list with servers s0, s1 ...
 inline MembershipUpdate members(int count) {
   MembershipUpdate update;
   for (int number = 0; number < count; ++number) update.servers.push_back(server(number));
   return update;
 }
 
-/// Whether an outcome shows that the attempt never ran, by the rules' own table and not by the library's.
-inline bool proves_unrun(Outcome outcome) {
+/// Whether an outcome must count as proof that the attempt never ran. Independent of the library's own table.
+inline bool expected_to_prove_never_ran(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
-/// One replica: a balancer and its clock.
+/// A balancer and its clock.
 struct ReplicaUnderTest {
   explicit ReplicaUnderTest(const Settings& settings, std::uint64_t seed = 1) : balancer(settings, seed) {}
 
@@ -64,7 +64,7 @@
     balancer.handle(now, event, actions);
     return actions;
   }
-  /// Handles a request whose client gives up 6 s from now.
+  /// Handles a request whose client times out 6 s from now.
   std::vector<Action> request(const std::string& id, std::size_t tenant = 0, std::size_t request_class = 0) {
     Request request;
     request.id = id;
@@ -74,7 +74,7 @@
     return at(now, request);
   }
   /// Handles the result of an attempt.
-  /// @param elapsed  seconds since the attempt started
+  /// @param elapsed s since the attempt was sent
   std::vector<Action> end_attempt(const std::string& id, Outcome outcome, int attempt = 0,
                                   double elapsed = 0.1) {
     return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSucceeded});
@@ -84,7 +84,7 @@
   double now = 0;  ///< s
 };
 
-/// The actions of one kind, in their order.
+/// The actions of one kind, in order.
 template <typename Kind>
 std::vector<Kind> actions_of(const std::vector<Action>& actions) {
   std::vector<Kind> matching;
--- a/tests/unit/balancer_membership_test.cpp
+++ b/tests/unit/balancer_membership_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Changes of the endpoint list, and when the membership is watched.
+/// Changes of the membership, and when the membership is watched.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,10 +10,10 @@
 namespace nettleyoke {
 namespace {
 
-// The servers that requests go to, each answered at once.
-std::set<std::string> servers_used(ReplicaUnderTest& replica, int calls, const std::string& prefix) {
+// Sends requests that succeed at once; returns the servers that received them.
+std::set<std::string> servers_used(ReplicaUnderTest& replica, int requests, const std::string& prefix) {
   std::set<std::string> used;
-  for (int i = 0; i < calls; ++i) {
+  for (int i = 0; i < requests; ++i) {
     const std::string id = prefix + std::to_string(i);
     for (const StartAttempt& attempt : actions_of<StartAttempt>(replica.request(id)))
       used.insert(attempt.server);
@@ -22,7 +22,7 @@
   return used;
 }
 
-TEST(MembershipChange, DrainingOrRemovedServerGetsNoNewRequest) {
+TEST(MembershipChange, DrainingOrRemovedServerReceivesNoNewRequest) {
   for (const ServerState state : {ServerState::kDraining, ServerState::kRemoved}) {
     ReplicaUnderTest replica(basic_settings());
     replica.at(0, members(3));
@@ -39,7 +39,7 @@
   }
 }
 
-TEST(MembershipChange, ServerMissingFromACompleteListIsRemoved) {
+TEST(MembershipChange, ServerMissingFromAFullListIsRemoved) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(3));
   replica.at(1, members(2));
@@ -50,19 +50,19 @@
   EXPECT_EQ(servers_used(replica, 50, "b"), (std::set<std::string>{"s0", "s1"}));
 }
 
-// The registry must not grow with every server there ever was: on a long day all of them are replaced again
-// and again, and each change walks it.
-TEST(MembershipChange, RemovedServersAreForgottenWithTheirLastRequest) {
+// The server registry must not grow with every server that was ever listed: all servers are replaced again
+// and again on a long day, and each change iterates over the registry.
+TEST(MembershipChange, RemovedServerIsErasedWhenItsLastRequestEnds) {
   ReplicaUnderTest replica(basic_settings());
-  constexpr int kListed = 5, kDay = 1000;
+  constexpr int kListed = 5, kSteps = 1000;
   replica.at(0, members(kListed));
-  const auto sent = actions_of<StartAttempt>(replica.request("in flight"));
-  ASSERT_EQ(sent.size(), 1U);
-  for (int i = kListed; i < kDay; ++i) {
+  const auto attempts = actions_of<StartAttempt>(replica.request("in flight"));
+  ASSERT_EQ(attempts.size(), 1U);
+  for (int i = kListed; i < kSteps; ++i) {
     MembershipUpdate change;
     change.form = i % 7 == 0 ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
     if (change.form == MembershipUpdate::Form::kFull) {
-      for (int at = i - kListed + 1; at < i; ++at) change.servers.push_back(server(at));
+      for (int number = i - kListed + 1; number < i; ++number) change.servers.push_back(server(number));
     } else {
       change.servers.push_back(server(i - kListed));
       change.servers.back().state = ServerState::kRemoved;
@@ -73,12 +73,13 @@
     ASSERT_EQ(actions_of<StartAttempt>(replica.request(id)).size(), 1U);
     replica.end_attempt(id, Outcome::kSucceeded);
   }
-  EXPECT_EQ(replica.balancer.servers(), kListed + 1U) << "those listed, and the one of the request in flight";
+  EXPECT_EQ(replica.balancer.servers(), kListed + 1U)
+      << "the listed servers and the server of the request in flight";
   replica.end_attempt("in flight", Outcome::kSucceeded);
   EXPECT_EQ(replica.balancer.servers(), static_cast<std::size_t>(kListed));
 }
 
-TEST(MembershipWatch, IsStartedAtOnceAndAgainAfterFailures) {
+TEST(MembershipWatch, IsStartedAtOnceAndRestartedAfterFailures) {
   Settings settings = basic_settings();
   settings.must_watch = true;
   settings.notification_deadline = 10;
@@ -97,7 +98,7 @@
   }
 }
 
-TEST(MembershipWatch, IsNotStartedWhereChangesArriveByThemselves) {
+TEST(MembershipWatch, IsNotStartedIfChangesArriveWithoutAWatch) {
   ReplicaUnderTest replica(basic_settings());
   EXPECT_TRUE(replica.at(0, Started{}).empty());
   MembershipUpdate failed;
--- a/tests/unit/balancer_outlier_test.cpp
+++ b/tests/unit/balancer_outlier_test.cpp
@@ -11,8 +11,8 @@
 namespace nettleyoke {
 namespace {
 
-// Runs requests of which the attempts at `failing_server` end with `outcome`; counts the first attempts at
-// each server.
+// Sends requests and ends each attempt at once: at `failing_server` with `outcome`, elsewhere with success.
+// Returns the number of first attempts at each server.
 std::map<std::string, int> run_requests(ReplicaUnderTest& replica, const std::string& failing_server,
                                         Outcome outcome, double from, double seconds, double rate,
                                         const std::string& prefix) {
@@ -30,8 +30,8 @@
   return first_attempts;
 }
 
-// A server that fails at once has nothing in flight and looks the least busy of all.
-TEST(OutlierDetection, FastFailingServerIsEjectedAndComesBack) {
+// A server that fails at once has no requests in flight and therefore looks the least loaded.
+TEST(OutlierDetection, FastFailingServerIsEjectedAndUsedAgainAfterRecovery) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(6));
   const auto while_failing = run_requests(replica, "s2", Outcome::kServerError, 0, 10, 50, "a");
@@ -40,20 +40,21 @@
   EXPECT_GT(after_recovery.at("s2"), 100);
 }
 
-// Judging each server alone would leave nobody to send to when the cause is shared.
-TEST(OutlierDetection, WhenAllServersFailNoneIsEjected) {
+// If all servers fail for a common reason, judging each one alone would eject all of them and leave none to
+// send to.
+TEST(OutlierDetection, NoServerIsEjectedWhenAllServersFail) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(4));
-  int sent = 0;
+  int first_attempts = 0;
   for (int i = 0; i < 200; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
     auto attempts = actions_of<StartAttempt>(replica.request(id));
-    sent += static_cast<int>(attempts.size());
+    first_attempts += static_cast<int>(attempts.size());
     for (int attempt = 0; !attempts.empty(); ++attempt)
       attempts = actions_of<StartAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
   }
-  EXPECT_EQ(sent, 200);
+  EXPECT_EQ(first_attempts, 200);
 }
 
 TEST(OutlierDetection, RetriesStayWithinTheBudget) {
@@ -75,8 +76,8 @@
   EXPECT_LT(retries, first_attempts / 4 + 10);
 }
 
-// Failures come in clusters. A replica that saves up a single retry would give up the second request of each
-// cluster, and a tier behind the first one would then fail what was done above.
+// Failures occur in clusters. With a budget of a single retry, the second request of each cluster would fail,
+// and behind the first tier that wastes the work of the tiers in front.
 TEST(OutlierDetection, ClusterOfFailuresIsRetried) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(6));
@@ -89,8 +90,8 @@
   }
 }
 
-// An attempt that gets no response lasts as long as its timeout. Where a fifth end so, each would make the
-// next timeout longer, until none is given up while another can follow.
+// An attempt without a response lasts until its timeout. If a fifth of all attempts time out and each one
+// raises the next timeout, no attempt times out early enough for a retry any more.
 TEST(AttemptTimeout, TimeoutsDoNotLengthenTheTimeout) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(6));
@@ -105,35 +106,36 @@
     return attempts[0].timeout;
   };
   for (int i = 0; i < 500; ++i) timeout_of(i, false);
-  const double calm = timeout_of(500, false);
-  EXPECT_LT(calm, 0.5);
+  const double before = timeout_of(500, false);
+  EXPECT_LT(before, 0.5);
   for (int i = 501; i < 1000; ++i) timeout_of(i, i % 5 == 0);
   const double after = timeout_of(1000, false);
   EXPECT_GT(after, 0);
-  EXPECT_LT(after, 3 * calm);
+  EXPECT_LT(after, 3 * before);
 }
 
-// Stuck attempts count as in flight. Where they last many times the usual, a few of them would use up what
-// the tier may have in flight, and all others would be rejected.
-TEST(AttemptTimeout, StuckAttemptsDoNotUseUpTheCapacity) {
+// Stuck attempts count as in flight. If they last many times the usual latency, a few of them use up the
+// concurrency limit of the tier, and all other requests are rejected.
+TEST(AttemptTimeout, StuckAttemptsDoNotUseUpTheConcurrencyLimit) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(4));
   struct PendingRequest {
     std::string id;
     bool stuck = false;
-    double lasts = 0;
+    double duration = 0;  // s
   };
   std::multimap<double, PendingRequest> ends;
   int rejected = 0;
   for (int i = 0; i < 2000; ++i) {
     const double now = i * 0.01;
     while (!ends.empty() && ends.begin()->first <= now) {
-      const auto [at, pending] = *ends.begin();
+      const auto [end_time, pending] = *ends.begin();
       ends.erase(ends.begin());
-      replica.now = at;
+      replica.now = end_time;
       const Outcome outcome = pending.stuck ? Outcome::kTimedOut : Outcome::kSucceeded;
-      const auto again = actions_of<StartAttempt>(replica.end_attempt(pending.id, outcome, 0, pending.lasts));
-      if (!again.empty()) replica.end_attempt(pending.id, Outcome::kSucceeded, 1);
+      const auto retries =
+          actions_of<StartAttempt>(replica.end_attempt(pending.id, outcome, 0, pending.duration));
+      if (!retries.empty()) replica.end_attempt(pending.id, Outcome::kSucceeded, 1);
     }
     replica.now = now;
     const std::string id = std::to_string(i);
@@ -141,8 +143,8 @@
     rejected += static_cast<int>(actions_of<Reject>(actions).size());
     for (const StartAttempt& attempt : actions_of<StartAttempt>(actions)) {
       const bool stuck = i >= 1000 && i % 8 == 0;
-      const double lasts = stuck ? attempt.timeout : 0.02 + 0.1 * (i % 3);
-      ends.emplace(now + lasts, PendingRequest{id, stuck, lasts});
+      const double duration = stuck ? attempt.timeout : 0.02 + 0.1 * (i % 3);
+      ends.emplace(now + duration, PendingRequest{id, stuck, duration});
     }
   }
   EXPECT_LT(rejected, 20);
--- a/tests/unit/balancer_selection_test.cpp
+++ b/tests/unit/balancer_selection_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The choice among the eligible endpoints.
+/// Selection among the eligible endpoints.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -23,9 +23,9 @@
   EXPECT_EQ(in_flight["s1"], 5);
 }
 
-// With about one request in flight at each replica, requests in flight tie and a slow server would keep its
-// part.
-TEST(EndpointSelection, SlowServerIsAvoidedWithNothingInFlight) {
+// With about one request in flight per replica, the numbers of requests in flight are equal, and a slow
+// server would keep its full share.
+TEST(EndpointSelection, SlowServerIsAvoidedWithoutRequestsInFlight) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(4));
   std::map<std::string, int> used;
@@ -38,10 +38,10 @@
     }
   }
   EXPECT_LT(used["s1"], used["s0"] / 2);
-  EXPECT_GT(used["s1"], 0) << "or its recovery would never be seen";
+  EXPECT_GT(used["s1"], 0) << "enough requests to observe its recovery";
 }
 
-// A server that has stopped answering looks like the others until its first attempt times out.
+// A server that has stopped responding looks like the others until its first attempt times out.
 TEST(EndpointSelection, AgeOfARequestInFlightCountsAgainstItsServer) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ReplicaUnderTest replica(basic_settings(), seed);
@@ -55,12 +55,13 @@
     replica.now += 1;  // five usual response times
     for (int i = 0; i < 3; ++i) {
       EXPECT_NE(actions_of<StartAttempt>(replica.request("new" + std::to_string(i)))[0].server, silent)
-          << "young requests weigh less than one old one";
+          << "several new requests weigh less than one old request";
     }
   }
 }
 
-// A zone with more traffic than its own servers carry would queue for ever while its neighbour idles.
+// If requests never left an overloaded zone, they would queue there while the servers of the other zone are
+// idle.
 TEST(EndpointSelection, OverloadedLocalZoneSpillsOverAndAnIdleOneDoesNot) {
   const auto remote_attempts = [](double local_response_time, double cross_zone_cost = 0.01) {
     Settings settings = basic_settings();
--- a/tests/unit/balancer_subsetting_test.cpp
+++ b/tests/unit/balancer_subsetting_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which servers of a tier a replica uses.
+/// The subset of a tier's servers that a replica uses.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,26 +20,26 @@
         for (std::size_t i = 0; i < replicas; ++i) {
           const auto subset = subset_of(i, replicas, servers, size);
           EXPECT_EQ(std::set<std::size_t>(subset.begin(), subset.end()).size(), std::min(size, servers));
-          for (const std::size_t at : subset) ++uses[at];
+          for (const std::size_t position : subset) ++uses[position];
         }
         const auto [least, most] = std::minmax_element(uses.begin(), uses.end());
-        // Whatever the counts, no server is used by over one replica more than another.
+        // For all counts, the numbers of replicas that use a server differ by one at most.
         EXPECT_LE(*most - *least, 1) << replicas << " replicas, " << servers << " servers, size " << size;
       }
     }
   }
 }
 
-TEST(Subsetting, RemovalOfOneServerMovesFewOthers) {
+TEST(Subsetting, RemovalOfOneServerChangesFewOthers) {
   for (const int replicas : {3, 7, 12}) {
     for (int index = 0; index < replicas; ++index) {
       Settings settings = basic_settings();
       settings.replica_index = index;
       settings.replica_count = replicas;
-      const auto used = [&](bool without_one) {
+      const auto servers_used = [&](bool is_one_removed) {
         ReplicaUnderTest replica(settings);
         MembershipUpdate update = members(24);
-        if (without_one) update.servers.erase(update.servers.begin() + 5);
+        if (is_one_removed) update.servers.erase(update.servers.begin() + 5);
         replica.at(0, update);
         std::set<std::string> servers;
         for (int i = 0; i < 400; ++i) {
@@ -50,8 +50,8 @@
         }
         return servers;
       };
-      const auto before = used(false);
-      const auto after = used(true);
+      const auto before = servers_used(false);
+      const auto after = servers_used(true);
       std::vector<std::string> common;
       std::set_intersection(before.begin(), before.end(), after.begin(), after.end(),
                             std::back_inserter(common));
@@ -60,8 +60,8 @@
   }
 }
 
-// With a subset of fixed size a lone replica would leave most of a large tier without work.
-TEST(Subsetting, FewReplicasStillReachEveryServer) {
+// With a subset of fixed size, a few replicas would leave most servers of a large tier idle.
+TEST(Subsetting, FewReplicasTogetherUseEveryServer) {
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
     Settings settings = basic_settings();
--- a/tests/unit/balancer_validation_test.cpp
+++ b/tests/unit/balancer_validation_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Settings and events that a balancer can't use.
+/// Settings that a balancer rejects, and events that it ignores or tolerates.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -14,51 +14,51 @@
 namespace {
 
 TEST(SettingsValidation, InvalidFieldIsNamed) {
-  const auto message = [](auto change) {
+  const auto error_message = [](auto change) {
     Settings settings = basic_settings();
     settings.tenants = {{1.0}};
     change(settings);
     try {
       const Balancer balancer(settings, 1);
-    } catch (const std::invalid_argument& problem) {
-      return std::string(problem.what());
+    } catch (const std::invalid_argument& error) {
+      return std::string(error.what());
     }
     return std::string("accepted");
   };
-  const auto names = [&](auto change, const char* field) {
-    EXPECT_NE(message(change).find(field), std::string::npos) << field << ": " << message(change);
+  const auto expect_named = [&](auto change, const char* field) {
+    EXPECT_NE(error_message(change).find(field), std::string::npos) << field << ": " << error_message(change);
   };
-  names([](Settings& settings) { settings.replica_count = 0; }, "replica_count");
-  names([](Settings& settings) { settings.replica_index = 1; }, "replica_index");
-  names([](Settings& settings) { settings.replica_index = -1; }, "replica_index");
-  names([](Settings& settings) { settings.clock_granularity = -1; }, "clock_granularity");
-  names([](Settings& settings) { settings.tier = -1; }, "tier");
-  names([](Settings& settings) { settings.max_attempts = 0; }, "max_attempts");
-  names([](Settings& settings) { settings.max_retry_after = -1; }, "max_retry_after");
-  names([](Settings& settings) { settings.notification_deadline = -1; }, "notification_deadline");
-  names([](Settings& settings) { settings.slow_start_duration = -1; }, "slow_start_duration");
-  names([](Settings& settings) { settings.over_quota_weight = -1; }, "over_quota_weight");
-  names([](Settings& settings) { settings.initial_capacity = 1.5; }, "initial_capacity");
-  names([](Settings& settings) { settings.classes[0].idempotency = static_cast<Idempotency>(9); },
-        "idempotency");
-  names([](Settings& settings) { settings.classes[0].dedup_scope = static_cast<DedupScope>(9); },
-        "dedup_scope");
-  names([](Settings& settings) { settings.classes[0].latency_objective = -1; }, "latency_objective");
-  names([](Settings& settings) { settings.classes[0].client_timeout = -1; }, "client_timeout");
-  names([](Settings& settings) { settings.classes[0].dedup_window = -1; }, "dedup_window");
-  names([](Settings& settings) { settings.tenants[0].quota = -1; }, "quota");
-  names(
+  expect_named([](Settings& settings) { settings.replica_count = 0; }, "replica_count");
+  expect_named([](Settings& settings) { settings.replica_index = 1; }, "replica_index");
+  expect_named([](Settings& settings) { settings.replica_index = -1; }, "replica_index");
+  expect_named([](Settings& settings) { settings.clock_granularity = -1; }, "clock_granularity");
+  expect_named([](Settings& settings) { settings.tier = -1; }, "tier");
+  expect_named([](Settings& settings) { settings.max_attempts = 0; }, "max_attempts");
+  expect_named([](Settings& settings) { settings.max_retry_after = -1; }, "max_retry_after");
+  expect_named([](Settings& settings) { settings.notification_deadline = -1; }, "notification_deadline");
+  expect_named([](Settings& settings) { settings.slow_start_duration = -1; }, "slow_start_duration");
+  expect_named([](Settings& settings) { settings.over_quota_weight = -1; }, "over_quota_weight");
+  expect_named([](Settings& settings) { settings.initial_capacity = 1.5; }, "initial_capacity");
+  expect_named([](Settings& settings) { settings.classes[0].idempotency = static_cast<Idempotency>(9); },
+               "idempotency");
+  expect_named([](Settings& settings) { settings.classes[0].dedup_scope = static_cast<DedupScope>(9); },
+               "dedup_scope");
+  expect_named([](Settings& settings) { settings.classes[0].latency_objective = -1; }, "latency_objective");
+  expect_named([](Settings& settings) { settings.classes[0].client_timeout = -1; }, "client_timeout");
+  expect_named([](Settings& settings) { settings.classes[0].dedup_window = -1; }, "dedup_window");
+  expect_named([](Settings& settings) { settings.tenants[0].quota = -1; }, "quota");
+  expect_named(
       [](Settings& settings) {
         settings.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN();
       },
       "latency_objective");
-  names([](Settings& settings) { settings.classes[0].objective_growth = -1; }, "objective_growth");
-  EXPECT_EQ(message([](Settings&) {}), "accepted");
+  expect_named([](Settings& settings) { settings.classes[0].objective_growth = -1; }, "objective_growth");
+  EXPECT_EQ(error_message([](Settings&) {}), "accepted");
 }
 
-TEST(SettingsValidation, NoAmountMayBeNanInfiniteOrNegative) {
-  using Change = double& (*)(Settings&);
-  const std::pair<Change, const char*> amounts[] = {
+TEST(SettingsValidation, NanInfiniteOrNegativeAmountIsRejected) {
+  using FieldAccess = double& (*)(Settings&);
+  const std::pair<FieldAccess, const char*> amounts[] = {
       {[](Settings& settings) -> double& { return settings.clock_granularity; }, "clock_granularity"},
       {[](Settings& settings) -> double& { return settings.max_retry_after; }, "max_retry_after"},
       {[](Settings& settings) -> double& { return settings.notification_deadline; }, "notification_deadline"},
@@ -83,14 +83,14 @@
       try {
         const Balancer balancer(settings, 1);
         ADD_FAILURE() << name << " accepted " << value;
-      } catch (const std::invalid_argument& problem) {
-        EXPECT_NE(std::string(problem.what()).find(name), std::string::npos) << problem.what();
+      } catch (const std::invalid_argument& error) {
+        EXPECT_NE(std::string(error.what()).find(name), std::string::npos) << error.what();
       }
     }
   }
 }
 
-TEST(EventValidation, IdOfARequestInFlightIsIgnored) {
+TEST(EventValidation, RequestWithTheIdOfAnOpenRequestIsIgnored) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(2));
   ASSERT_EQ(actions_of<StartAttempt>(replica.request("r")).size(), 1U);
@@ -98,7 +98,7 @@
   EXPECT_TRUE(replica.end_attempt("r", Outcome::kSucceeded).empty());
 }
 
-TEST(EventValidation, NumbersOutOfRangeAreHarmless) {
+TEST(EventValidation, UnknownIdsAndIndexesOutOfRangeAreHarmless) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(2));
   EXPECT_EQ(actions_of<StartAttempt>(replica.request("a", 77, 88)).size(), 1U);
--- a/tests/unit/property_test.cpp
+++ b/tests/unit/property_test.cpp
@@ -88,7 +88,7 @@
   void end_attempt(const std::string& id, TrackedRequest& tracked, std::size_t attempt, Outcome outcome) {
     SentAttempt& sent = tracked.attempts[attempt];
     sent.in_flight = false;
-    sent.may_have_run = !proves_unrun(outcome);
+    sent.may_have_run = !expected_to_prove_never_ran(outcome);
     if (outcome == Outcome::kSucceeded) tracked.concluded = true;
     const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.started_at,
                                tracked.concluded};
--- a/tests/unit/rules_test.cpp
+++ b/tests/unit/rules_test.cpp
@@ -47,7 +47,7 @@
       const Server& server = servers_[attempts[0].server];
       check_retry(server);
       const Outcome outcome = attempt == 0 ? first_outcome : Outcome::kConnectFailed;
-      if (!may_have_run_at_ && !proves_unrun(outcome)) may_have_run_at_ = server;
+      if (!may_have_run_at_ && !expected_to_prove_never_ran(outcome)) may_have_run_at_ = server;
       replica_.now += 0.05;
       actions = replica_.end_attempt("r", outcome, attempt);
       ASSERT_LT(attempt, 9);
