--- a/tests/unit/fleet_slow_start_test.cpp
+++ b/tests/unit/fleet_slow_start_test.cpp
@@ -317,7 +317,7 @@
   EXPECT_EQ(sent_fraction(R"(,"tipMultiple":4)"), by_default);
   EXPECT_NEAR(sent_fraction(R"(,"tipMultiple":1)"), by_default / 2, 0.03);
   EXPECT_THROW(sent_fraction(R"(,"tipMultiple":-1)"), std::invalid_argument);
-  EXPECT_THROW(sent_fraction(R"(,"tipMultiple":"4")"), json::BadMessage);
+  EXPECT_THROW(sent_fraction(R"(,"tipMultiple":"4")"), json::InvalidMessage);
 }
 
 }  // namespace
