--- a/include/nettleyoke/balancer.h
+++ b/include/nettleyoke/balancer.h
@@ -45,11 +45,11 @@
 
   /// Admission statistics, for metrics.
   /// @param tenant Index into Settings::tenants; an index out of range stands for traffic without a tenant.
-  [[nodiscard]] TenantStatistics tenant(double now, std::size_t tenant) const;
+  [[nodiscard]] TenantStatistics tenant_statistics(double now, std::size_t tenant) const;
   /// Number of tracked servers: the listed ones, and removed ones that open requests still refer to.
-  [[nodiscard]] std::size_t servers() const;
+  [[nodiscard]] std::size_t server_count() const;
   /// Number of listed servers that are administratively disabled or ejected.
-  [[nodiscard]] std::size_t unavailable_servers(double now) const;
+  [[nodiscard]] std::size_t unavailable_server_count(double now) const;
 
  private:
   class Impl;
@@ -57,15 +57,15 @@
 };
 
 /// The fraction of requests to reject, 0 to 1.
-/// @param rate_limit Of the tenant, requests per second.
+/// @param rate_limit Rate limit of the tenant, requests per second.
 /// @param window_rate Rate over the whole sliding window, requests per second.
 /// @param last_second_rate Rate over the last second, requests per second.
 double suppression_factor(double rate_limit, double window_rate, double last_second_rate);
 
 /// The subset of one replica, as positions in a list of servers that all replicas sort alike.
-/// @param servers Number of servers in the list.
+/// @param server_count Number of servers in the list.
 /// @param size Size of the subset; all servers if there are fewer.
-std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
-                                   std::size_t size);
+std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count,
+                                   std::size_t server_count, std::size_t size);
 
 }  // namespace nettleyoke
--- a/node/dispatch/decision_loop.h
+++ b/node/dispatch/decision_loop.h
@@ -49,7 +49,7 @@
   /// Passes the event to the Balancer: immediately, or, if called while an event is being handled, after that
   /// event. The Balancer is never called recursively.
   void enqueue_event(Event event);
-  std::size_t unavailable_servers() const { return balancer_.unavailable_servers(clock_.now()); }
+  std::size_t unavailable_servers() const { return balancer_.unavailable_server_count(clock_.now()); }
 
  private:
   void handle(const Event& event);
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -47,7 +47,7 @@
 
 void Balancer::Impl::on_watch_failed() {
   if (!settings_.must_watch) return;
-  const double due_at = watch_backoff_.next_attempt_at(now_, settings_.notification_deadline, random_);
+  const double due_at = watch_backoff_.next_watch_at(now_, settings_.notification_deadline, random_);
   actions_->emplace_back(SetTimer{due_at, ++watch_timer_token_});
 }
 
@@ -77,11 +77,13 @@
   impl_->handle(now, event, actions);
 }
 
-std::size_t Balancer::servers() const { return impl_->server_count(); }
+std::size_t Balancer::server_count() const { return impl_->server_count(); }
 
-std::size_t Balancer::unavailable_servers(double now) const { return impl_->unavailable_server_count(now); }
+std::size_t Balancer::unavailable_server_count(double now) const {
+  return impl_->unavailable_server_count(now);
+}
 
-TenantStatistics Balancer::tenant(double now, std::size_t tenant) const {
+TenantStatistics Balancer::tenant_statistics(double now, std::size_t tenant) const {
   return impl_->tenant_statistics(now, tenant);
 }
 
--- a/src/membership/subsetting.cpp
+++ b/src/membership/subsetting.cpp
@@ -11,21 +11,22 @@
 constexpr std::size_t kMinSubsetSize = 5;
 // Least number of replicas that use each server. With few replicas, subsets are therefore large.
 constexpr std::size_t kReplicasPerServer = 2;
-// The same for a server that is warming up. More replicas even out differences between their traffic.
+// Least number of replicas that use each server that is warming up. With more replicas, differences between
+// their traffic even out.
 constexpr std::size_t kReplicasPerWarmingServer = 8;
 
 }  // namespace
 
-// The subsets start at evenly spaced positions of a ring. The numbers of replicas that use two servers differ
-// by one at most, and the removal of a server moves each start by one position at most.
-std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
-                                   std::size_t size) {
+// The subsets start at evenly spaced positions of a ring. For any two servers, the numbers of replicas that
+// use them differ by one at most, and the removal of a server moves each start by one position at most.
+std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count,
+                                   std::size_t server_count, std::size_t size) {
   std::vector<std::size_t> positions;
-  if (servers == 0 || replica_count == 0) return positions;
-  const std::size_t start = replica_index * servers / replica_count;
-  const std::size_t count = std::min(size, servers);
+  if (server_count == 0 || replica_count == 0) return positions;
+  const std::size_t start = replica_index * server_count / replica_count;
+  const std::size_t count = std::min(size, server_count);
   positions.reserve(count);
-  for (std::size_t i = 0; i < count; ++i) positions.push_back((start + i) % servers);
+  for (std::size_t i = 0; i < count; ++i) positions.push_back((start + i) % server_count);
   return positions;
 }
 
--- a/src/membership/watch_backoff.h
+++ b/src/membership/watch_backoff.h
@@ -19,14 +19,14 @@
   /// @param notification_deadline As in Settings, s; 0: unknown.
   /// @param random One draw is taken.
   /// @return Time of the re-watch, s.
-  [[nodiscard]] double next_attempt_at(double now, double notification_deadline, RandomSource& random);
+  [[nodiscard]] double next_watch_at(double now, double notification_deadline, RandomSource& random);
 
  private:
   // Doubles with each consecutive failure.
   static constexpr double kInitialBackoffSeconds = 0.3;
 
   double backoff_s_ = kInitialBackoffSeconds;
-  double last_attempt_at_ = -kInfinity;
+  double last_watch_at_ = -kInfinity;
 };
 
 }  // namespace nettleyoke
--- a/tests/unit/balancer_admission_test.cpp
+++ b/tests/unit/balancer_admission_test.cpp
@@ -51,7 +51,7 @@
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
   EXPECT_EQ(offer(replica, 0, 10, 50, "a"), 500);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).suppression_factor, 0);
 }
 
 TEST(Admission, AboveTheRateLimitTheExcessIsThrottled) {
@@ -59,9 +59,9 @@
   settings.over_quota_weight = 0;  // the rate limit stays where it starts
   ReplicaUnderTest replica(settings);
   replica.at(0, members(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
   const int admitted = offer(replica, 0, 8, 4 * limit, "a");
-  const TenantStatistics statistics = replica.balancer.tenant(replica.now, 0);
+  const TenantStatistics statistics = replica.balancer.tenant_statistics(replica.now, 0);
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
   EXPECT_NEAR(statistics.suppression_factor, 1 - statistics.rate_limit / (4 * limit), 0.05);
@@ -73,9 +73,9 @@
   for (const Outcome outcome : {Outcome::kServerError, Outcome::kUnknown, Outcome::kReset}) {
     ReplicaUnderTest replica(one_tenant(10));
     replica.at(0, members(4));
-    const double limit = replica.balancer.tenant(0, 0).rate_limit;
+    const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
     offer(replica, 0, 4, 5, "a", outcome);
-    EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, limit);
+    EXPECT_GE(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, limit);
   }
 }
 
@@ -83,7 +83,7 @@
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
   offer(replica, 0, 20, 9, "a", Outcome::kRejected);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, 10);
 }
 
 // A tenant within its quota must find a server also where one far over its own holds all the capacity.
@@ -108,7 +108,7 @@
 TEST(Admission, AtTheHardLimitAllRequestsAreThrottled) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
   const double flood = 400 * limit;
   int late_admissions = 0;
   for (int i = 0; i < static_cast<int>(flood); ++i) {
@@ -117,17 +117,17 @@
     if (i > flood * 0.9 && admitted) ++late_admissions;
   }
   EXPECT_EQ(late_admissions, 0);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 1);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).suppression_factor, 1);
 }
 
 TEST(Admission, RequestsLeaveTheSlidingWindow) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
   for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
-  EXPECT_GT(replica.balancer.tenant(0, 0).suppression_factor, 0.5);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(3.85, 0).total, 500);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).total, 0);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).suppression_factor, 0);
+  EXPECT_GT(replica.balancer.tenant_statistics(0, 0).suppression_factor, 0.5);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(3.85, 0).total, 500);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(4.15, 0).total, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(4.15, 0).suppression_factor, 0);
 }
 
 // The factor is cached for 100 ms: a flood within that time is met with the factor from before it.
@@ -136,7 +136,7 @@
   settings.over_quota_weight = 0;
   ReplicaUnderTest replica(settings);
   replica.at(0, members(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
   const int soft_limit = static_cast<int>(std::ceil(4 * limit));  // the window's seconds
   const auto admitted_of = [&](double time, int calls, const std::string& prefix) {
     int admitted = 0;
@@ -152,7 +152,7 @@
   EXPECT_EQ(admitted_of(0, soft_limit, "fill"), soft_limit);
   EXPECT_NEAR(admitted_of(0.01, 1000, "cached"), 250,
               60);  // the factor from when the flood began: three quarters
-  const double factor = replica.balancer.tenant(0.12, 0).suppression_factor;
+  const double factor = replica.balancer.tenant_statistics(0.12, 0).suppression_factor;
   EXPECT_GT(factor, 0.85);
   EXPECT_NEAR(admitted_of(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
 }
@@ -170,37 +170,38 @@
       replica.end_attempt("r" + std::to_string(i), Outcome::kSucceeded);
   }
   EXPECT_GT(rejected, 300);
-  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).rejected, rejected);
+  EXPECT_EQ(replica.balancer.tenant_statistics(replica.now, 0).rejected, rejected);
 }
 
 TEST(RateLimit, RisesWhileRequestsSucceedInTime) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
-  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  const double before = replica.balancer.tenant_statistics(0, 0).rate_limit;
   offer(replica, 0, 10, before * 0.9, "a");
-  EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
-  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before * 2);
+  EXPECT_GT(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, before);
+  EXPECT_LT(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, before * 2);
 }
 
 TEST(RateLimit, FallsWithRejectionsDownToAFloor) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
   offer(replica, 0, 40, 120, "up");
-  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double before = replica.balancer.tenant_statistics(replica.now, 0).rate_limit;
   ASSERT_GT(before, 130);
   offer(replica, 40, 5, before, "a", Outcome::kRejected);
-  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  EXPECT_LT(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, before);
   offer(replica, 45, 60, 50, "b", Outcome::kRejected);
-  EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 25) << "a quarter of the part of the quota";
+  EXPECT_GE(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, 25)
+      << "a quarter of the part of the quota";
 }
 
 // Requests that end within a feedback delay were sent under the old limit and say nothing of the new one.
 TEST(RateLimit, OneSecondOfRejectionsTakesAPartOfIt) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
-  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double before = replica.balancer.tenant_statistics(replica.now, 0).rate_limit;
   offer(replica, 0, 1, before, "a", Outcome::kRejected);
-  const double after = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double after = replica.balancer.tenant_statistics(replica.now, 0).rate_limit;
   EXPECT_LT(after, before * 0.9);
   EXPECT_GT(after, before * 0.5);
 }
@@ -209,14 +210,14 @@
 TEST(RateLimit, SlowResponsesDoNotLowerIt) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
-  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  const double before = replica.balancer.tenant_statistics(0, 0).rate_limit;
   for (int i = 0; i < 500; ++i) {
     replica.now = i * 0.01;
     const std::string id = std::to_string(i);
     if (!actions_of<StartAttempt>(replica.request(id)).empty())
       replica.end_attempt(id, Outcome::kSucceeded, 0, 1.8);
   }
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, before);
 }
 
 }  // namespace
--- a/tests/unit/balancer_membership_test.cpp
+++ b/tests/unit/balancer_membership_test.cpp
@@ -73,9 +73,10 @@
     ASSERT_EQ(actions_of<StartAttempt>(replica.request(id)).size(), 1U);
     replica.end_attempt(id, Outcome::kSucceeded);
   }
-  EXPECT_EQ(replica.balancer.servers(), kListed + 1U) << "those listed, and the one of the request in flight";
+  EXPECT_EQ(replica.balancer.server_count(), kListed + 1U)
+      << "those listed, and the one of the request in flight";
   replica.end_attempt("in flight", Outcome::kSucceeded);
-  EXPECT_EQ(replica.balancer.servers(), static_cast<std::size_t>(kListed));
+  EXPECT_EQ(replica.balancer.server_count(), static_cast<std::size_t>(kListed));
 }
 
 TEST(MembershipWatch, IsStartedAtOnceAndAgainAfterFailures) {
--- a/tests/unit/balancer_validation_test.cpp
+++ b/tests/unit/balancer_validation_test.cpp
@@ -107,7 +107,7 @@
   EXPECT_TRUE(replica.end_attempt("never", Outcome::kSucceeded).empty());
   EXPECT_TRUE(replica.at(0, TimerFired{12345}).empty());
   EXPECT_TRUE(replica.at(0, RequestCancelled{"never"}).empty());
-  EXPECT_GE(replica.balancer.tenant(0, 1234).rate_limit, 0);
+  EXPECT_GE(replica.balancer.tenant_statistics(0, 1234).rate_limit, 0);
 }
 
 }  // namespace
--- a/tests/unit/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -279,7 +279,7 @@
     replica.end_attempt(id, Outcome::kTimedOut, 0, 0.06);
   }
   EXPECT_GE(actions_of<StartAttempt>(replica.request("after")).at(0).timeout, before);
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 0U);
 }
 
 TEST(AttemptDeadline, FullTimeoutCountsAgainstTheServer) {
@@ -290,7 +290,7 @@
     replica.now += 0.4;
     replica.end_attempt(id, Outcome::kTimedOut, 0, 0.4);
   }
-  EXPECT_GT(replica.balancer.unavailable_servers(replica.now), 0U);
+  EXPECT_GT(replica.balancer.unavailable_server_count(replica.now), 0U);
 }
 
 TEST(AttemptDeadline, RequestThatCannotBeAnsweredInTimeIsRejected) {
--- a/tests/unit/decision_digest_test.cpp
+++ b/tests/unit/decision_digest_test.cpp
@@ -99,10 +99,10 @@
 
  private:
   void note_views(double now, const Balancer& balancer) {
-    std::string text = "views " + std::to_string(balancer.servers()) + " " +
-                       std::to_string(balancer.unavailable_servers(now));
+    std::string text = "views " + std::to_string(balancer.server_count()) + " " +
+                       std::to_string(balancer.unavailable_server_count(now));
     for (std::size_t tenant = 0; tenant < 4; ++tenant) {
-      const TenantStatistics view = balancer.tenant(now, tenant);
+      const TenantStatistics view = balancer.tenant_statistics(now, tenant);
       text += " " + text_of(view.rate_limit) + " " + text_of(view.suppression_factor) + " " +
               text_of(view.total) + " " + text_of(view.rejected);
     }
--- a/tests/unit/membership_parts_test.cpp
+++ b/tests/unit/membership_parts_test.cpp
@@ -126,14 +126,14 @@
     WatchBackoff backoff;
     double now = 100;
     for (const double pause : {0.3, 0.6, 1.2, 2.0, 2.0}) {  // half of the deadline at most
-      const double next = backoff.next_attempt_at(now, 4, random);
+      const double next = backoff.next_watch_at(now, 4, random);
       EXPECT_GE(next - now, pause / 2);
       EXPECT_LE(next - now, pause);
       now = next;
     }
-    EXPECT_LE(backoff.next_attempt_at(now + 10, 4, random), now + 10.3) << "the call hung for long";
+    EXPECT_LE(backoff.next_watch_at(now + 10, 4, random), now + 10.3) << "the call hung for long";
     backoff.reset();
-    EXPECT_LE(backoff.next_attempt_at(now + 10, 4, random), now + 10.3);
+    EXPECT_LE(backoff.next_watch_at(now + 10, 4, random), now + 10.3);
   }
 }
 
--- a/tests/unit/server_admin_state_test.cpp
+++ b/tests/unit/server_admin_state_test.cpp
@@ -49,9 +49,9 @@
   replica.at(0, members(3));
   replica.at(replica.now, ServerAdminStateChanged{"s1", false});
   replica.at(replica.now, ServerAdminStateChanged{"s1", false});
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 1U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 1U);
   replica.at(replica.now, ServerAdminStateChanged{"s1", true});
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 0U);
   EXPECT_TRUE(used(replica, 100, "back").contains("s1"));
 }
 
@@ -111,7 +111,7 @@
   replica.at(0, ServerAdminStateChanged{"s1", false});
   replica.at(0, members(2));
   EXPECT_FALSE(used(replica, 50, "r").contains("s1"));
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 1U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 1U);
 }
 
 TEST(ServerAdminState, AttemptInFlightAtADisabledServerEndsAsUsual) {
@@ -127,7 +127,7 @@
 TEST(UnavailableServers, FailingServerCountsUntilItRecovers) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(1));
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 0U);
   for (int i = 0; i < 4; ++i) {
     replica.now += 0.01;
     const std::string id = "f" + std::to_string(i);
@@ -135,8 +135,8 @@
     for (int attempt = 0; !attempts.empty(); ++attempt)
       attempts = actions_of<StartAttempt>(replica.end_attempt(id, Outcome::kReset, attempt));
   }
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 1U);
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now + 60), 0U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 1U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now + 60), 0U);
 }
 
 }  // namespace
--- a/tests/unit/settings_replacement_test.cpp
+++ b/tests/unit/settings_replacement_test.cpp
@@ -61,16 +61,16 @@
       replica.end_attempt(id, Outcome::kSucceeded, 0, 0.05);
     }
   }
-  const double learned = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double learned = replica.balancer.tenant_statistics(replica.now, 0).rate_limit;
   Settings next = named_settings(3);
   Tenant other;
   other.quota = 5;
   other.name = "other";
   next.tenants.insert(next.tenants.begin(), other);
-  ASSERT_GT(learned, ReplicaUnderTest(next).balancer.tenant(0, 0).rate_limit);
+  ASSERT_GT(learned, ReplicaUnderTest(next).balancer.tenant_statistics(0, 0).rate_limit);
   replica.at(replica.now, SettingsReplaced{next});
-  EXPECT_EQ(replica.balancer.tenant(replica.now, 1).rate_limit, learned);
-  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, learned)
+  EXPECT_EQ(replica.balancer.tenant_statistics(replica.now, 1).rate_limit, learned);
+  EXPECT_LT(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, learned)
       << "a new tenant starts from its own quota";
 }
 
