--- a/include/nettleyoke/events.h
+++ b/include/nettleyoke/events.h
@@ -28,8 +28,8 @@
   bool body_in_progress = false;  ///< The body is still arriving; RequestBodyComplete reports its last byte.
 };
 
-/// The last byte of a request's body has arrived. Its time limit and the latencies of its attempts count from
-/// now, because no server can process the request earlier.
+/// The last byte of a request's body has arrived. The time limit of the request and the latencies of its
+/// attempts count from now, because no server can process the request earlier.
 struct RequestBodyComplete {
   std::string id;
 };
@@ -71,13 +71,17 @@
 };
 
 /// The state of a server in discovery.
-enum class ServerState { kReady, kDraining, kRemoved };
+enum class ServerState {
+  kReady,     ///< Accepts attempts.
+  kDraining,  ///< Gets no new attempts, but finishes those in flight.
+  kRemoved    ///< No longer listed.
+};
 
 /// A server as discovery reports it.
 struct Server {
   std::string address;  ///< Identifies the server.
   int zone = 0;
-  int cell = 0;
+  int cell = 0;        ///< Group of servers that drop each other's duplicates under DedupScope::kCell.
   double weight = 1;   ///< Capacity relative to other servers.
   double started = 0;  ///< When it last started, s; 0: long ago.
   ServerState state = ServerState::kReady;
@@ -99,8 +103,9 @@
   std::uint64_t token = 0;
 };
 
-/// An operator has disabled or enabled a server. A disabled server counts as draining whatever the membership
-/// says, also after it was removed and added again. A server that is enabled again counts as just started.
+/// An operator has disabled or enabled a server. A disabled server counts as draining, whatever state
+/// discovery reports, even after it was removed and added again. A server that is enabled again counts as
+/// just started.
 struct ServerAdminStateChanged {
   std::string address;
   bool enabled = true;
--- a/include/nettleyoke/settings.h
+++ b/include/nettleyoke/settings.h
@@ -23,7 +23,7 @@
   double latency_objective = 0;  ///< s; a response within this time earns the full priority weight.
   double objective_growth = 0;   ///< s added to the latency objective per second of announced work.
   double client_timeout = 0;     ///< s that the client waits in total; upper bound of the objective.
-  double late_value = 0;         ///< Fraction of the weight that a response after the objective earns.
+  double late_value = 0;  ///< Fraction of the priority weight that a response after the objective earns.
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DedupScope dedup_scope = DedupScope::kAll;
   /// s after the first attempt that may have run, during which servers drop duplicates.
--- a/src/admission/load_shedding_log.cpp
+++ b/src/admission/load_shedding_log.cpp
@@ -3,14 +3,15 @@
 namespace nettleyoke {
 namespace {
 
-constexpr double kMinSecondsBetweenLines = 10;
+// Length of a period, in which rejected requests are counted for one line.
+constexpr double kPeriodSeconds = 10;
 
 }  // namespace
 
 std::optional<std::string> LoadSheddingLog::record_rejection(double now, ShedReason reason) {
-  if (throttled_ + no_capacity_ == 0) next_line_at_ = now + kMinSecondsBetweenLines;
+  if (throttled_ + no_capacity_ == 0) period_ends_at_ = now + kPeriodSeconds;
   ++(reason == ShedReason::kThrottled ? throttled_ : no_capacity_);
-  if (now < next_line_at_) return std::nullopt;
+  if (now < period_ends_at_) return std::nullopt;
   std::string line = "load shedding: " + std::to_string(throttled_) + " over their tenant's rate limit, " +
                      std::to_string(no_capacity_) + " without a server with capacity";
   throttled_ = 0;
--- a/src/admission/load_shedding_log.h
+++ b/src/admission/load_shedding_log.h
@@ -13,17 +13,18 @@
   kNoCapacity  ///< No server has capacity.
 };
 
-/// Counts rejected requests and formats one log line per period. Owns the counts; does not write the line.
+/// Counts rejected requests and formats one log line per period. The first rejected request after a line
+/// starts a period. Owns the counts; does not write the line.
 class LoadSheddingLog {
  public:
   /// Counts one rejected request.
-  /// @return The line to log if the period has ended.
+  /// @return The line to log if the period has ended; otherwise empty.
   [[nodiscard]] std::optional<std::string> record_rejection(double now, ShedReason reason);
 
  private:
   int throttled_ = 0;    // since the last line
   int no_capacity_ = 0;  // since the last line
-  double next_line_at_ = 0;
+  double period_ends_at_ = 0;
 };
 
 }  // namespace nettleyoke
--- a/src/admission/sliding_window.h
+++ b/src/admission/sliding_window.h
@@ -55,6 +55,7 @@
 
  private:
   struct Bucket {
+    // Number of the time slot whose requests it counts; initially long before any time.
     std::int64_t slot = std::numeric_limits<std::int64_t>::min() / 2;
     double total = 0;
     double rejected = 0;
--- a/src/admission/tenant_rate_limiter.cpp
+++ b/src/admission/tenant_rate_limiter.cpp
@@ -14,25 +14,27 @@
 // 1 s, the short rate of the design.
 constexpr int kShortRateBuckets = 10;
 
-// Hard limit as a multiple of the soft limit. Rejected requests count against it too, so that the factor is
-// high: only a flood gets all requests of a tenant rejected.
+// Hard limit as a multiple of the soft limit. Rejected requests count against the hard limit too. The factor
+// is therefore high: all requests of a tenant are rejected only if the tenant floods the replica.
 constexpr double kHardLimitFactor = 20;
 // How long a suppression factor between 0 and 1 is cached; as in the design.
 constexpr double kFactorCacheSeconds = 0.1;
 
-// Initial limit as a multiple of this replica's share of the quota. It starts high and is lowered by
-// failures.
+// Initial limit as a multiple of this replica's share of the quota. The limit starts high, and failures lower
+// it.
 constexpr double kInitialLimitPerQuota = 1.5;
 // Standard deviations of the request rate that the initial limit allows for random variation.
 constexpr double kInitialLimitDeviations = 1.5;
-// Floor as a multiple of this replica's share of the quota. The capacity of the tier exceeds the sum of all
-// quotas.
+// Floor of the limit as a multiple of this replica's share of the quota. The capacity of the tier exceeds the
+// sum of all quotas.
 constexpr double kFloorPerQuota = 1;
-// The same behind the first tier, where a rejection wastes the work that the tiers before it have done.
+// The floor behind the first tier, as the same multiple. It is higher there, because a rejection wastes the
+// work that the tiers before have done.
 constexpr double kInnerTierFloorPerQuota = 6;
 
-// Upper bounds by which one failure lowers the limit: in requests per second, and as a fraction of the limit.
-constexpr double kMaxStepPerSecond = 0.4;
+// Upper bounds of the step by which one failure lowers the limit: in requests per second, and as a fraction
+// of the limit.
+constexpr double kMaxStepRequestsPerSecond = 0.4;
 constexpr double kMaxStepFraction = 0.1;
 // Failures per success at which the limit stays constant.
 constexpr double kFailuresPerSuccess = 0.25;
@@ -70,7 +72,8 @@
   return suppression_factor(rate_limit_, sums.total / kWindowSeconds, sums.last_second);
 }
 
-// The factor is cached as in the design, except for 0 and 1, each of which takes only a comparison.
+// A factor between 0 and 1 is cached, as in the design. A factor of 0 or 1 is not: each takes only a
+// comparison.
 bool TenantRateLimiter::admit(double now, RandomSource& random) {
   double factor = current_suppression_factor(window_.sums(now));
   if (factor > 0 && factor < 1) {
@@ -90,10 +93,13 @@
          window_.sums(now).accepted() <= limit_floor_ * kWindowSeconds;
 }
 
-// The step of one result, as a fraction of the limit. Results arrive some time after admission, so that the
-// limit must not drop too far in the meantime: a second in which all requests fail lowers a limit of any
-// height by no more than the fraction kMaxStepPerSecond.
-double TenantRateLimiter::step() const { return std::min(kMaxStepFraction, kMaxStepPerSecond / rate_limit_); }
+// The step by which one failure lowers the limit, as a fraction of the limit; a success raises it by a part
+// of this step. Requests that were admitted under a higher limit still fail after the limit was lowered, and
+// the limit must not drop too far because of them. Therefore a second in which requests arrive at the rate of
+// the limit and all fail lowers the limit, however high, by a fraction of at most kMaxStepRequestsPerSecond.
+double TenantRateLimiter::step() const {
+  return std::min(kMaxStepFraction, kMaxStepRequestsPerSecond / rate_limit_);
+}
 
 void TenantRateLimiter::on_success(double now) {
   if (!std::isfinite(rate_limit_)) return;
--- a/src/admission/tenant_rate_limiter.h
+++ b/src/admission/tenant_rate_limiter.h
@@ -28,13 +28,14 @@
   void inherit(const TenantRateLimiter& previous);
 
   /// Decides whether to admit one request, and counts it.
-  /// @param random One draw is taken, but none below the soft limit.
+  /// @param random One draw is taken; none below the soft limit.
   [[nodiscard]] bool admit(double now, RandomSource& random);
 
-  /// Whether the tenant's recent requests are within its quota. When other tenants flood the tier, their
-  /// requests of low weight use up all capacity; requests within the quota therefore get a higher concurrency
-  /// limit. A lower limit for the others instead would lower itself further and further, because limits are
-  /// learned from responses.
+  /// Whether the tenant's recent requests are within its quota. Always false behind the first tier, for a
+  /// tenant without a quota, and if requests beyond the quota have full weight. When other tenants flood the
+  /// tier, their requests of low weight use up all capacity; requests within the quota therefore get a higher
+  /// concurrency limit. The other requests do not get a lower limit instead: fewer of them would get
+  /// responses, and as limits are learned from responses, their limit would drop further and further.
   [[nodiscard]] bool is_within_quota(double now) const;
 
   /// Raises the limit by a small step after a response in time, if the tenant uses more than half of the
--- a/src/attempts/idempotency_rules.h
+++ b/src/attempts/idempotency_rules.h
@@ -20,7 +20,7 @@
                                         const Server& candidate);
 
 /// The time, s, within which a retry of a request with an idempotency key must be sent; empty: no limit.
-/// Without it, a retry that waits for a connection could be sent when the servers no longer drop its
+/// Without this limit, a retry that waits for a connection could be sent when the servers no longer drop
 /// duplicates.
 [[nodiscard]] std::optional<double> retry_send_limit(double now, const RequestState& request);
 
--- a/src/attempts/latency_estimate.cpp
+++ b/src/attempts/latency_estimate.cpp
@@ -19,8 +19,8 @@
 // Avoids a division by 0.
 constexpr double kMinDeviationSeconds = 1e-9;
 // Weight of one response in the recent minimum, and the time in which the minimum decays to 1/e.
-constexpr double kMinimumGain = 0.02;
-constexpr double kMinimumDecaySeconds = 10;
+constexpr double kRecentMinimumGain = 0.02;
+constexpr double kRecentMinimumDecaySeconds = 10;
 
 Ewma initial_estimate(double latency_objective) {
   const double objective = std::min(latency_objective, kMaxInitialObjectiveSeconds);
@@ -30,7 +30,8 @@
 }  // namespace
 
 LatencyEstimate::LatencyEstimate(double latency_objective)
-    : latency_(initial_estimate(latency_objective)), recent_minimum_(kMinimumGain, kMinimumDecaySeconds) {}
+    : latency_(initial_estimate(latency_objective)),
+      recent_minimum_(kRecentMinimumGain, kRecentMinimumDecaySeconds) {}
 
 double LatencyEstimate::late_threshold() const {
   return latency_.mean + kLateDeviations * latency_.deviation;
--- a/src/attempts/latency_estimate.h
+++ b/src/attempts/latency_estimate.h
@@ -11,7 +11,7 @@
 /// seconds. Owns the estimate; takes no decisions.
 class LatencyEstimate {
  public:
-  /// @param latency_objective Of the class, s; the initial estimate is derived from it.
+  /// @param latency_objective Latency objective of the class, s; the initial estimate is derived from it.
   explicit LatencyEstimate(double latency_objective);
 
   [[nodiscard]] double mean() const { return latency_.mean; }
@@ -21,8 +21,8 @@
   [[nodiscard]] double recent_minimum(double now) const { return recent_minimum_.at(now); }
 
   /// How much a timeout after `elapsed` counts as a failure of the server, 0 to 1. A timeout that the
-  /// client cut short counts less: a healthy server exceeds the mean half of the time, but the mean plus one
-  /// deviation seldom.
+  /// client cut short counts less: the latency of a healthy server exceeds the mean half of the time, but the
+  /// mean plus one deviation seldom.
   [[nodiscard]] double timeout_weight(double elapsed) const;
 
   /// The latency sample for a timeout, which is censored: the response takes longer, but it is unknown how
--- a/src/attempts/request_state.h
+++ b/src/attempts/request_state.h
@@ -15,7 +15,7 @@
 /// One attempt of a request.
 struct AttemptRecord {
   std::size_t server = 0;    ///< Index into the server registry.
-  double sent_at = 0;        ///< Time sent, s; once its body is complete, the time of the last byte.
+  double sent_at = 0;        ///< Time sent, s; for a body still in progress then, the time of its last byte.
   bool open = true;          ///< It has no result yet.
   bool may_have_run = true;  ///< The server may have executed it.
   bool in_flight = false;    ///< It counts against the concurrency limits.
--- a/src/balancer_impl.h
+++ b/src/balancer_impl.h
@@ -89,8 +89,8 @@
   LoadSheddingLog load_shedding_log_;
   RequestMap requests_;  // never iterated, because its order differs between platforms
 
-  // Token of the last timer. A timer set before the settings were replaced is ignored: it would start a
-  // second watch.
+  // Token of the last timer set. An earlier timer, from before the settings were replaced, may still be
+  // pending; it is ignored, because it would start a second watch.
   std::uint64_t watch_timer_token_ = 0;
 
   // Time and actions of the event being handled.
--- a/src/capacity/concurrency_limits.cpp
+++ b/src/capacity/concurrency_limits.cpp
@@ -6,13 +6,14 @@
 namespace nettleyoke {
 namespace {
 
-// A server gets no further attempt if its queue would take longer than this multiple of the idle latency.
+// A server gets no further attempt if, at its response rate, it needs longer than this multiple of the idle
+// latency to respond to the attempts in flight.
 constexpr double kServerQueueFactor = 1.5;
-// The same for the whole tier, whose measurements vary less.
+// The same multiple for the whole tier, whose measurements vary less.
 constexpr double kTierQueueFactor = 1.8;
 
-// Recent latencies as fractions of the objective: up to the first the burst allowance is full, from the
-// second on it is 0.
+// Recent latencies as fractions of the objective: up to kCalmLatencyRatio the burst allowance is full, from
+// kBusyLatencyRatio on it is 0.
 constexpr double kCalmLatencyRatio = 0.45;
 constexpr double kBusyLatencyRatio = 0.7;
 // The burst allowance for random variation: attempts in flight, plus standard deviations of their number.
@@ -31,11 +32,11 @@
 // Weight of one request in the mean latency objective.
 constexpr double kObjectiveGain = 0.05;
 
-// Multiples of a server's own idle latency: above the first it has turned slow, up to the second it has
-// recovered.
+// Multiples of a server's own idle latency: above kSlowFactor the server turns slow, and it stays slow until
+// its recent latency is at most kRecoveredFactor.
 constexpr double kSlowFactor = 2.2;
 constexpr double kRecoveredFactor = 1.3;
-// Upper bound of a single response, as a multiple of the idle latency.
+// Upper bound of the latency recorded for a single response, as a multiple of the idle latency.
 constexpr double kMaxLatencyFactor = 3;
 
 // Allowed attempts in flight at one server, over all replicas, without any measurement.
@@ -53,8 +54,8 @@
   idle_.add(now, latency_ratio);
 }
 
-// An attempt without a response, from the server or from a tier behind it, lasts until its timeout. Without
-// the bound, one such attempt would make the server count as slow.
+// A single response can take almost as long as its timeout, because the server or a tier behind it did not
+// respond for a while. Without the bound, one such response would make the server count as slow.
 void ServerConcurrencyLimit::record_recent_latency(double latency_ratio) {
   recent_.add(idle_.is_learned() ? std::min(latency_ratio, kMaxLatencyFactor * idle_.ratio()) : latency_ratio,
               kRecentGain);
--- a/src/capacity/concurrency_limits.h
+++ b/src/capacity/concurrency_limits.h
@@ -71,7 +71,7 @@
   void add_configured_objective(double objective_s) { objective_.add(objective_s, 0); }
   /// Adds the latency objective, s, of an admitted request to the mean objective.
   void record_objective(double objective_s);
-  /// Records when an endpoint list or a change of it has arrived; the first time counts.
+  /// Records the time at which an endpoint list or a change of it arrived; only the first time counts.
   void record_membership_update(double now);
 
   void add_in_flight() { in_flight_ += 1; }
--- a/src/capacity/idle_latency.cpp
+++ b/src/capacity/idle_latency.cpp
@@ -10,8 +10,8 @@
 constexpr double kMaxRatio = 0.3;
 // Number of responses after which the idle latency can count as learned.
 constexpr double kMinResponses = 20;
-// The first responses after a start are those of the quickest requests only. Nothing is learned before this
-// time.
+// Time after the first response before which nothing is learned, because the first responses after a start
+// are those of the quickest requests only.
 constexpr double kSettleSeconds = 3;
 // Weight of one response.
 constexpr double kResponseGain = 0.02;
--- a/src/health/slow_start.cpp
+++ b/src/health/slow_start.cpp
@@ -30,9 +30,10 @@
 }
 
 double SlowStartPolicy::warming_factor(double now, const SlowStart& server, double started) const {
-  // A start since the server was last disabled counts even if the server was enabled later. Counted from when
-  // it was enabled, a server that was restarted while disabled would get less than its capacity, and the
-  // other servers more, at the moment when operators disable the next server.
+  // If the server has started since it was last disabled, its age counts from that start, even if it was
+  // enabled later. With an age that counts from when it was enabled, a server restarted while disabled would
+  // get less than its capacity, and the other servers more, at the moment when operators disable the next
+  // server.
   const bool started_since_disabled = started != 0 && started > server.disabled_at_;
   const double warming_since = started_since_disabled ? started : server.enabled_at_;
   const double age = std::max(0.0, now - warming_since);
--- a/src/health/slow_start.h
+++ b/src/health/slow_start.h
@@ -12,8 +12,8 @@
 class SlowStart {
  public:
   /// Resets the bucket for a new process at the server's address.
-  /// @param tokens Initial content, 0 to 1. All replicas are notified of the start at once; different initial
-  /// contents keep them from sending at once.
+  /// @param tokens Initial content, 0 to 1. All replicas are notified of the start at the same time;
+  /// different initial contents keep them from sending their first attempts at the same time.
   void begin_incarnation(double now, double tokens);
 
   /// Records that an operator has disabled the server.
@@ -49,7 +49,7 @@
   /// Counts an admitted request.
   void record_admitted(double now) { admitted_rate_.add(now); }
 
-  /// The slow-start factor: the fraction of its full capacity that a server has by now at least, 0 to 1.
+  /// The slow-start factor: the least fraction of its full capacity that a server has by now, 0 to 1.
   /// @param started When the server last started according to discovery, s; 0: long ago.
   [[nodiscard]] double factor(double now, const SlowStart& server, double started) const {
     const bool started_long_ago = started == 0 && !server.was_reenabled();
--- a/src/membership/server_registry.cpp
+++ b/src/membership/server_registry.cpp
@@ -83,7 +83,7 @@
 }
 
 // A removed server is kept while attempts of open requests refer to it. Attempts that have ended refer to it
-// too, because their server's cell limits which servers the next attempt may go to.
+// too, because the zone or cell of their server limits which servers the next attempt may go to.
 void ServerRegistry::free_if_unused(std::size_t index) {
   ServerRecord& record = records_[index];
   if (record.advertised.state != ServerState::kRemoved || record.attempt_references > 0) return;
--- a/src/membership/server_registry.h
+++ b/src/membership/server_registry.h
@@ -40,8 +40,8 @@
 };
 
 /// Owns the records of all servers and the administrative state. A server keeps its index while it is listed
-/// or open requests refer to it. Then the index is reused, so that the registry does not grow when servers
-/// are replaced again and again. It does not select servers.
+/// or open requests refer to it. Afterwards the index is reused, so that the registry does not grow when
+/// servers are replaced again and again. Does not select servers.
 class ServerRegistry {
  public:
   /// Applies a complete list or a list of changes.
--- a/src/request_handling.cpp
+++ b/src/request_handling.cpp
@@ -11,11 +11,11 @@
 namespace nettleyoke {
 
 void Balancer::Impl::on(const Request& request) {
-  if (requests_.contains(request.id)) return;  // a duplicate: the open request gets one answer
+  if (requests_.contains(request.id)) return;  // a duplicate of an open request, which gets one final answer
   TenantRateLimiter& tenant = *tenants_.at(request.tenant);
   const bool within_quota = tenant.is_within_quota(now_);
   if (!tenant.admit(now_, random_)) return shed(request.id, ShedReason::kThrottled);
-  // Not even the quickest recent response would be in time: an attempt would only waste work of a server.
+  // If not even the quickest recent response would be in time, an attempt would only waste a server's work.
   const RequestClassState& request_class = *classes_.at(request.request_class);
   if (request.time_left < request_class.latency.recent_minimum(now_)) return reject(request.id);
 
@@ -69,7 +69,7 @@
   if (!request.has_open_attempt()) close(entry);
 }
 
-// Returns false if there is too little time or no eligible server.
+// Returns false if there is too little time, the tier is at its limit, or no server is eligible.
 bool Balancer::Impl::start_attempt(const std::string& id, RequestState& request) {
   const double timeout = attempt_timeout(now_, request);
   if (!(timeout > 0)) return false;
--- a/src/selection/endpoint_selector.cpp
+++ b/src/selection/endpoint_selector.cpp
@@ -26,9 +26,9 @@
   return pick_of_two(now);
 }
 
-// If too few members of the subset are eligible, all servers are considered. If no server is healthy, they
-// have a common cause, and health is ignored. Behind the first tier capacity is only a preference, because a
-// rejection would waste the work that the tiers before it have done.
+// If too few members of the subset are eligible, all servers are considered. If no server is healthy, the
+// failures have a common cause, and health is ignored. Behind the first tier capacity is only a preference,
+// because a rejection would waste the work that the tiers before it have done.
 bool EndpointSelector::find_eligible(double now, const RequestState& request) {
   const bool first_tier = tier_limit_.is_first_tier();
   const std::vector<std::size_t>& all = subset_.all();
@@ -79,7 +79,7 @@
   });
 }
 
-// Power of two choices: the first is of the local zone if possible, the second is any other.
+// Power of two choices: the first endpoint is in the local zone if possible, the second is any other.
 std::size_t EndpointSelector::pick_of_two(double now) {
   const auto first_remote = std::find_if(eligible_.begin(), eligible_.end(), [&](std::size_t index) {
     return locality_.is_remote(registry_[index].advertised);
--- a/src/statistics/decaying_minimum.h
+++ b/src/statistics/decaying_minimum.h
@@ -6,9 +6,9 @@
 
 namespace nettleyoke {
 
-/// Takes a smaller value at once and approaches larger ones slowly. Without samples it decays towards 0, so
-/// that requests that were rejected because of it are admitted again. Owns the minimum and the time of the
-/// last sample.
+/// The minimum of recent samples. A smaller sample replaces it at once, larger ones raise it slowly. Without
+/// samples it decays towards 0, so that requests that were rejected because of it are admitted again. Owns
+/// the minimum and the time of the last sample.
 class DecayingMinimum {
  public:
   /// @param gain Weight of one sample above the minimum.
--- a/src/statistics/random_source.h
+++ b/src/statistics/random_source.h
@@ -8,9 +8,9 @@
 
 namespace nettleyoke {
 
-/// A splitmix64 generator. It maps to ranges itself, because standard distributions differ between platforms,
-/// and reads neither a clock nor the system's entropy: the same seed always gives the same draws. Owns the
-/// generator's state.
+/// A splitmix64 generator. It maps its bits to ranges itself, because standard distributions differ between
+/// platforms, and reads neither a clock nor the system's entropy: the same seed always gives the same draws.
+/// Owns the generator's state.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : state_(seed) {}
@@ -35,8 +35,8 @@
   std::uint64_t state_;
 };
 
-/// FNV-1a with a final mix. Sorted by it, servers have the same order at every replica, independent of how
-/// their addresses were assigned.
+/// FNV-1a hash with a final mix. Servers sorted by this hash have the same order at every replica, and the
+/// order does not depend on how addresses were assigned.
 inline std::uint64_t stable_hash(std::string_view text) {
   std::uint64_t hash = 0xCBF29CE484222325ULL;
   for (const char character : text) hash = (hash ^ static_cast<unsigned char>(character)) * 0x100000001B3ULL;
