--- a/tests/unit/balancer_admission_test.cpp
+++ b/tests/unit/balancer_admission_test.cpp
@@ -52,7 +52,7 @@
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
   EXPECT_EQ(send_requests(replica, 0, 10, 50, "a"), 500);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).suppression_factor, 0);
 }
 
 TEST(Admission, RequestsAboveTheRateLimitAreRejected) {
@@ -60,9 +60,9 @@
   settings.over_quota_weight = 0;  // the rate limit does not rise above its initial value
   ReplicaUnderTest replica(settings);
   replica.at(0, members(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
   const int admitted = send_requests(replica, 0, 8, 4 * limit, "a");
-  const TenantStatistics statistics = replica.balancer.tenant(replica.now, 0);
+  const TenantStatistics statistics = replica.balancer.tenant_statistics(replica.now, 0);
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
   EXPECT_NEAR(statistics.suppression_factor, 1 - statistics.rate_limit / (4 * limit), 0.05);
@@ -74,9 +74,9 @@
   for (const Outcome outcome : {Outcome::kServerError, Outcome::kUnknown, Outcome::kReset}) {
     ReplicaUnderTest replica(one_tenant(10));
     replica.at(0, members(4));
-    const double limit = replica.balancer.tenant(0, 0).rate_limit;
+    const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
     send_requests(replica, 0, 4, 5, "a", outcome);
-    EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, limit);
+    EXPECT_GE(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, limit);
   }
 }
 
@@ -84,7 +84,7 @@
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
   send_requests(replica, 0, 20, 9, "a", Outcome::kRejected);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, 10);
 }
 
 // A tenant that far exceeds its quota can use all capacity. Requests of a tenant within its quota must still
@@ -110,7 +110,7 @@
 TEST(Admission, AtTheHardLimitAllRequestsAreRejected) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
   const double flood = 400 * limit;
   int late_admissions = 0;
   for (int i = 0; i < static_cast<int>(flood); ++i) {
@@ -119,17 +119,17 @@
     if (i > flood * 0.9 && admitted) ++late_admissions;
   }
   EXPECT_EQ(late_admissions, 0);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 1);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).suppression_factor, 1);
 }
 
 TEST(Admission, RequestsLeaveTheSlidingWindow) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
   for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
-  EXPECT_GT(replica.balancer.tenant(0, 0).suppression_factor, 0.5);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(3.85, 0).total, 500);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).total, 0);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).suppression_factor, 0);
+  EXPECT_GT(replica.balancer.tenant_statistics(0, 0).suppression_factor, 0.5);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(3.85, 0).total, 500);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(4.15, 0).total, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(4.15, 0).suppression_factor, 0);
 }
 
 // The factor is cached for 100 ms: during that time, a burst of requests is rejected with the earlier factor.
@@ -138,7 +138,7 @@
   settings.over_quota_weight = 0;
   ReplicaUnderTest replica(settings);
   replica.at(0, members(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
   const int soft_limit = static_cast<int>(std::ceil(4 * limit));  // the window is 4 s long
   const auto count_admitted = [&](double time, int requests, const std::string& prefix) {
     int admitted = 0;
@@ -154,7 +154,7 @@
   EXPECT_EQ(count_admitted(0, soft_limit, "fill"), soft_limit);
   // The cached factor, from the start of the burst, is three quarters.
   EXPECT_NEAR(count_admitted(0.01, 1000, "cached"), 250, 60);
-  const double factor = replica.balancer.tenant(0.12, 0).suppression_factor;
+  const double factor = replica.balancer.tenant_statistics(0.12, 0).suppression_factor;
   EXPECT_GT(factor, 0.85);
   EXPECT_NEAR(count_admitted(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
 }
@@ -172,28 +172,28 @@
       replica.end_attempt("r" + std::to_string(i), Outcome::kSucceeded);
   }
   EXPECT_GT(rejected, 300);
-  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).rejected, rejected);
+  EXPECT_EQ(replica.balancer.tenant_statistics(replica.now, 0).rejected, rejected);
 }
 
 TEST(RateLimit, RisesWhileRequestsSucceedInTime) {
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
-  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  const double before = replica.balancer.tenant_statistics(0, 0).rate_limit;
   send_requests(replica, 0, 10, before * 0.9, "a");
-  EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
-  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before * 2);
+  EXPECT_GT(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, before);
+  EXPECT_LT(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, before * 2);
 }
 
 TEST(RateLimit, FallsWithServerRejectionsDownToAFloor) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
   send_requests(replica, 0, 40, 120, "up");
-  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double before = replica.balancer.tenant_statistics(replica.now, 0).rate_limit;
   ASSERT_GT(before, 130);
   send_requests(replica, 40, 5, before, "a", Outcome::kRejected);
-  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  EXPECT_LT(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, before);
   send_requests(replica, 45, 60, 50, "b", Outcome::kRejected);
-  EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 25)
+  EXPECT_GE(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, 25)
       << "a quarter of this replica's share of the quota";
 }
 
@@ -202,9 +202,9 @@
 TEST(RateLimit, FallsByAFractionInOneSecondOfRejections) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
-  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double before = replica.balancer.tenant_statistics(replica.now, 0).rate_limit;
   send_requests(replica, 0, 1, before, "a", Outcome::kRejected);
-  const double after = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double after = replica.balancer.tenant_statistics(replica.now, 0).rate_limit;
   EXPECT_LT(after, before * 0.9);
   EXPECT_GT(after, before * 0.5);
 }
@@ -213,14 +213,14 @@
 TEST(RateLimit, SlowResponsesDoNotLowerIt) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
-  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  const double before = replica.balancer.tenant_statistics(0, 0).rate_limit;
   for (int i = 0; i < 500; ++i) {
     replica.now = i * 0.01;
     const std::string id = std::to_string(i);
     if (!actions_of<StartAttempt>(replica.request(id)).empty())
       replica.end_attempt(id, Outcome::kSucceeded, 0, 1.8);
   }
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, before);
 }
 
 }  // namespace
--- a/tests/unit/balancer_membership_test.cpp
+++ b/tests/unit/balancer_membership_test.cpp
@@ -73,10 +73,10 @@
     ASSERT_EQ(actions_of<StartAttempt>(replica.request(id)).size(), 1U);
     replica.end_attempt(id, Outcome::kSucceeded);
   }
-  EXPECT_EQ(replica.balancer.servers(), kListed + 1U)
+  EXPECT_EQ(replica.balancer.server_count(), kListed + 1U)
       << "the listed servers and the server of the request in flight";
   replica.end_attempt("in flight", Outcome::kSucceeded);
-  EXPECT_EQ(replica.balancer.servers(), static_cast<std::size_t>(kListed));
+  EXPECT_EQ(replica.balancer.server_count(), static_cast<std::size_t>(kListed));
 }
 
 TEST(MembershipWatch, IsStartedAtOnceAndRestartedAfterFailures) {
--- a/tests/unit/decision_digest_test.cpp
+++ b/tests/unit/decision_digest_test.cpp
@@ -104,10 +104,10 @@
 
  private:
   void add_statistics(double now, const Balancer& balancer) {
-    std::string text = "views " + std::to_string(balancer.servers()) + " " +
-                       std::to_string(balancer.unavailable_servers(now));
+    std::string text = "views " + std::to_string(balancer.server_count()) + " " +
+                       std::to_string(balancer.unavailable_server_count(now));
     for (std::size_t tenant = 0; tenant < 4; ++tenant) {
-      const TenantStatistics statistics = balancer.tenant(now, tenant);
+      const TenantStatistics statistics = balancer.tenant_statistics(now, tenant);
       text += " " + text_of(statistics.rate_limit) + " " + text_of(statistics.suppression_factor) + " " +
               text_of(statistics.total) + " " + text_of(statistics.rejected);
     }
--- a/tests/unit/server_admin_state_test.cpp
+++ b/tests/unit/server_admin_state_test.cpp
@@ -50,9 +50,9 @@
   replica.at(0, members(3));
   replica.at(replica.now, ServerAdminStateChanged{"s1", false});
   replica.at(replica.now, ServerAdminStateChanged{"s1", false});
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 1U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 1U);
   replica.at(replica.now, ServerAdminStateChanged{"s1", true});
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 0U);
   EXPECT_TRUE(servers_used(replica, 100, "back").contains("s1"));
 }
 
@@ -112,7 +112,7 @@
   replica.at(0, ServerAdminStateChanged{"s1", false});
   replica.at(0, members(2));
   EXPECT_FALSE(servers_used(replica, 50, "r").contains("s1"));
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 1U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 1U);
 }
 
 TEST(ServerAdminState, AttemptInFlightAtADisabledServerMaySucceed) {
@@ -128,7 +128,7 @@
 TEST(UnavailableServers, FailingServerIsCountedWhileItIsEjected) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(1));
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 0U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 0U);
   for (int i = 0; i < 4; ++i) {
     replica.now += 0.01;
     const std::string id = "f" + std::to_string(i);
@@ -136,8 +136,8 @@
     for (int attempt = 0; !attempts.empty(); ++attempt)
       attempts = actions_of<StartAttempt>(replica.end_attempt(id, Outcome::kReset, attempt));
   }
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now), 1U);
-  EXPECT_EQ(replica.balancer.unavailable_servers(replica.now + 60), 0U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now), 1U);
+  EXPECT_EQ(replica.balancer.unavailable_server_count(replica.now + 60), 0U);
 }
 
 }  // namespace
