--- a/lab/report/json_report.cpp
+++ b/lab/report/json_report.cpp
@@ -11,7 +11,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-// The one place where the results' keys stand beside the code's names.
+// The only mappings between outcomes and their keys in the results.
 struct CallOutcomeKey {
   CallOutcome outcome;
   const char* key;
@@ -33,7 +33,7 @@
                                                                 {AttemptOutcome::kReset, "cut"},
                                                                 {AttemptOutcome::kInFlight, "out"}}};
 
-constexpr std::size_t kMaxNodesInJson = 100;  // of more the results have the groups alone
+constexpr std::size_t kMaxNodesInJson = 100;  // with more nodes, the results contain only the groups
 
 template <typename Key>
 std::uint64_t count_of(const std::map<Key, std::size_t>& counts, Key key) {
@@ -41,7 +41,7 @@
   return found == counts.end() ? 0 : found->second;
 }
 
-// Digits beyond the sixth mean nothing.
+// Rounds to six decimal places, because further digits are not meaningful.
 double rounded(double value) { return std::round(value * 1e6) / 1e6; }
 double milliseconds(double seconds) { return std::round(seconds * 1e6) / 1e3; }
 
@@ -76,8 +76,8 @@
     json_.EndObject();
     put("first_breaks", report.first_violations);
     put("worst_own_lateness_ms", milliseconds(report.worst_event_loop_delay));
-    put("own_cpu_s", report.own_cpu);
-    put("own_memory_mb", report.own_memory_mb);
+    put("own_cpu_s", report.lab_cpu);
+    put("own_memory_mb", report.lab_memory_mb);
     put("in_force", quantiles_of(report.propagation_times));
   }
 
@@ -97,8 +97,8 @@
     put("calls", std::uint64_t{node.calls});
     for (const auto& [outcome, key] : kCallOutcomeKeys) put(key, count_of(node.outcomes, outcome));
     put("attempts", std::uint64_t{node.attempts});
-    put("added_at_once", node.added_in_one_attempt);
-    put("added", node.added);
+    put("added_at_once", node.added_latency_single_attempt);
+    put("added", node.added_latency);
     put("watch_calls", std::uint64_t{node.watch_calls});
     put("whole_lists", std::uint64_t{node.full_lists});
     put("control_bytes_in", std::uint64_t{node.control_bytes_in});
--- a/lab/report/json_report.h
+++ b/lab/report/json_report.h
@@ -1,5 +1,6 @@
 /// @file
-/// A report as JSON. Others read it, also from earlier runs: its keys stay as they are.
+/// Writes a report as JSON. The keys are a stable format, because other programs read results of this and of
+/// earlier versions.
 #pragma once
 
 #include <string>
--- a/lab/report/quantiles.cpp
+++ b/lab/report/quantiles.cpp
@@ -10,8 +10,8 @@
   quantiles.count = values.size();
   if (values.empty()) return quantiles;
   std::sort(values.begin(), values.end());
-  const auto at = [&values](double part) {
-    const auto rank = static_cast<std::size_t>(std::ceil(part * static_cast<double>(values.size())));
+  const auto at = [&values](double fraction) {
+    const auto rank = static_cast<std::size_t>(std::ceil(fraction * static_cast<double>(values.size())));
     return values[std::clamp<std::size_t>(rank, 1, values.size()) - 1];
   };
   quantiles.median = at(0.5);
--- a/lab/report/quantiles.h
+++ b/lab/report/quantiles.h
@@ -1,5 +1,5 @@
 /// @file
-/// Quantiles of measured times.
+/// Quantiles of measurements.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace nettleyoke::lab {
 
-/// In the unit of the values; zeros where there are none.
+/// Quantiles in the unit of the values; all fields are 0 when there are no values.
 struct Quantiles {
   std::size_t count = 0;
   double median = 0, p99 = 0, p999 = 0, max = 0;
--- a/lab/report/report.cpp
+++ b/lab/report/report.cpp
@@ -5,7 +5,7 @@
 
 namespace nettleyoke::lab {
 
-void NodeResult::take_stats(const std::string& line) {
+void NodeResult::parse_stats(const std::string& line) {
   rapidjson::Document document;
   document.Parse(line.data(), line.size());
   if (document.HasParseError() || !document.IsObject()) return;
--- a/lab/report/summary.cpp
+++ b/lab/report/summary.cpp
@@ -9,7 +9,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-/// Adds one call after the other to the results of its node and servers.
+/// Adds calls one by one to the results of their nodes and servers.
 class CallSummary {
  public:
   CallSummary(double first_call, Report& report)
@@ -25,12 +25,12 @@
       time_with_servers += attempt.ended_at - attempt.arrived_at;
       add(attempt);
     }
-    // Hedged requests overlap: the time with servers can't be taken off then.
+    // Hedged requests overlap, so the sum of their times with servers cannot be subtracted.
     const bool may_overlap = call.attempts.size() > 1 && report_.experiment->settings.allow_hedging;
     if (call.outcome != CallOutcome::kServed || may_overlap) return;
     const double added = call.ended_at - call.sent_at - time_with_servers;
-    node.times.push_back(added);
-    if (call.attempts.size() == 1) node.times_in_one_attempt.push_back(added);
+    node.added_latencies.push_back(added);
+    if (call.attempts.size() == 1) node.added_latencies_single_attempt.push_back(added);
   }
 
   void finish() {
@@ -43,8 +43,8 @@
       report_.servers[i].abandoned_after = quantiles_of(std::move(abandoned_after_[i]));
     }
     for (NodeResult& node : report_.nodes) {
-      node.added_in_one_attempt = quantiles_of(node.times_in_one_attempt);
-      node.added = quantiles_of(node.times);
+      node.added_latency_single_attempt = quantiles_of(node.added_latencies_single_attempt);
+      node.added_latency = quantiles_of(node.added_latencies);
     }
   }
 
@@ -73,14 +73,14 @@
   group.kind = node.kind;
   group.tier = node.tier;
   group.list_version =
-      group.members == 0 ? node.list_version : std::min(group.list_version, node.list_version);
+      group.group_size == 0 ? node.list_version : std::min(group.list_version, node.list_version);
   group.latest_version = node.latest_version;
-  ++group.members;
+  ++group.group_size;
   for (const auto& [outcome, calls] : node.outcomes) group.outcomes[outcome] += calls;
   group.calls += node.calls;
   group.attempts += node.attempts;
-  append(group.times, node.times);
-  append(group.times_in_one_attempt, node.times_in_one_attempt);
+  append(group.added_latencies, node.added_latencies);
+  append(group.added_latencies_single_attempt, node.added_latencies_single_attempt);
   group.watch_calls += node.watch_calls;
   group.full_lists += node.full_lists;
   group.control_bytes_in += node.control_bytes_in;
@@ -117,10 +117,10 @@
   std::vector<NodeResult> results;
   results.reserve(groups.size());
   for (auto& [key, group] : groups) {
-    group.name = std::to_string(group.members) + " " + group.kind +
+    group.name = std::to_string(group.group_size) + " " + group.kind +
                  (group.tier > 0 ? ", t" + std::to_string(group.tier) : "");
-    group.added_in_one_attempt = quantiles_of(group.times_in_one_attempt);
-    group.added = quantiles_of(group.times);
+    group.added_latency_single_attempt = quantiles_of(group.added_latencies_single_attempt);
+    group.added_latency = quantiles_of(group.added_latencies);
     results.push_back(std::move(group));
   }
   return results;
--- a/lab/report/summary.h
+++ b/lab/report/summary.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sums up calls and attempts for a report.
+/// Aggregates calls and attempts for a report.
 #pragma once
 
 #include <vector>
@@ -9,11 +9,13 @@
 
 namespace nettleyoke::lab {
 
-/// Takes over what the checker has recorded: into the report's nodes and servers, which are in its order.
-/// @param first_call when calls began, on the lab's clock
+/// Adds the calls, attempts and violations that the checker has recorded to a report. The report's nodes and
+/// servers must be in the checker's order.
+/// @param first_call time of the first call on the lab's clock, in s
 void add_calls(const InvariantChecker& checker, double first_call, Report& report);
 
-/// The nodes of one kind and tier taken together: sums, and quantiles over all their calls.
+/// Aggregates the nodes of each kind and tier into a group: counters are summed, and quantiles cover the
+/// calls of all nodes of the group.
 [[nodiscard]] std::vector<NodeResult> groups_of(const Report& report);
 
 }  // namespace nettleyoke::lab
--- a/lab/report/text_report.h
+++ b/lab/report/text_report.h
@@ -1,5 +1,5 @@
 /// @file
-/// A report as plain tables. Committed results hold them: their words stay as they are.
+/// Writes a report as plain text tables.
 #pragma once
 
 #include <string>
--- a/lab/run/event_loop_monitor.h
+++ b/lab/run/event_loop_monitor.h
@@ -1,29 +1,31 @@
 /// @file
-/// How late the lab's own event loop is. Its lateness excuses nodes, for they are measured on the same loop.
+/// Measures the delay of the lab's own event loop. Nodes are measured on the same loop, so the time limits
+/// for nodes grow by this delay.
 #pragma once
 
 #include <algorithm>
 
 namespace nettleyoke::lab {
 
-/// Times are in s, on any one clock.
+/// Times are in s; all of them are read from the same clock.
 class EventLoopMonitor {
  public:
-  /// Records that a timer fired at `now` that was due at `due`.
+  /// Records that a timer due at `due` fired at `now`.
   void record(double due, double now) {
     const double delay = now - due;
     worst_ = std::max(worst_, delay);
     if (delay >= recent_ || now > recent_until_) {
       recent_ = delay;
-      recent_until_ = now + kMemorySeconds;
+      recent_until_ = now + kRecentSeconds;
     }
   }
-  /// The worst delay of about the last second.
-  double recent() const { return recent_; }
-  double worst() const { return worst_; }
+  /// The longest delay within about the last second, in s.
+  double recent_delay() const { return recent_; }
+  /// The longest delay of the whole run, in s.
+  double worst_delay() const { return worst_; }
 
  private:
-  static constexpr double kMemorySeconds = 1;
+  static constexpr double kRecentSeconds = 1;
   double recent_ = 0, recent_until_ = 0, worst_ = 0;
 };
 
--- a/lab/run/experiment.cpp
+++ b/lab/run/experiment.cpp
@@ -8,44 +8,46 @@
 
 using Kind = FaultInjection::Kind;
 
-struct FaultWord {
+struct FaultKindName {
   Kind kind;
-  const char* word;
+  const char* name;
 };
 
-// The one place where the words of experiment files and results stand beside the code's names.
-constexpr std::array<FaultWord, 13> kFaultWords{{{Kind::kHang, "hang"},
-                                                 {Kind::kSlow, "slow"},
-                                                 {Kind::kFail, "fail"},
-                                                 {Kind::kRecover, "mend"},
-                                                 {Kind::kCrash, "crash"},
-                                                 {Kind::kStart, "start"},
-                                                 {Kind::kDrain, "drain"},
-                                                 {Kind::kRemove, "remove"},
-                                                 {Kind::kDiscoveryDown, "silence"},
-                                                 {Kind::kResetWatches, "reset"},
-                                                 {Kind::kStallWatches, "stall"},
-                                                 {Kind::kDelayDiscovery, "late"},
-                                                 {Kind::kPartition, "cut"}}};
+// The only mapping between fault kinds and their names in experiment files and results.
+constexpr std::array<FaultKindName, 13> kFaultKindNames{{{Kind::kHang, "hang"},
+                                                         {Kind::kSlow, "slow"},
+                                                         {Kind::kFail, "fail"},
+                                                         {Kind::kRecover, "mend"},
+                                                         {Kind::kCrash, "crash"},
+                                                         {Kind::kStart, "start"},
+                                                         {Kind::kDrain, "drain"},
+                                                         {Kind::kRemove, "remove"},
+                                                         {Kind::kDiscoveryDown, "silence"},
+                                                         {Kind::kResetWatches, "reset"},
+                                                         {Kind::kStallWatches, "stall"},
+                                                         {Kind::kDelayDiscovery, "late"},
+                                                         {Kind::kPartition, "cut"}}};
 
 }  // namespace
 
-const char* word_for(Kind kind) {
-  const auto found = std::find_if(kFaultWords.begin(), kFaultWords.end(),
-                                  [kind](const FaultWord& known) { return known.kind == kind; });
-  return found == kFaultWords.end() ? "unknown" : found->word;
+const char* fault_kind_name(Kind kind) {
+  const auto found = std::find_if(kFaultKindNames.begin(), kFaultKindNames.end(),
+                                  [kind](const FaultKindName& entry) { return entry.kind == kind; });
+  return found == kFaultKindNames.end() ? "unknown" : found->name;
 }
 
-std::optional<Kind> fault_kind_for(std::string_view word) {
-  const auto found = std::find_if(kFaultWords.begin(), kFaultWords.end(),
-                                  [word](const FaultWord& known) { return known.word == word; });
-  return found == kFaultWords.end() ? std::nullopt : std::optional(found->kind);
+std::optional<Kind> fault_kind_from_name(std::string_view name) {
+  const auto found = std::find_if(kFaultKindNames.begin(), kFaultKindNames.end(),
+                                  [name](const FaultKindName& entry) { return entry.name == name; });
+  return found == kFaultKindNames.end() ? std::nullopt : std::optional(found->kind);
 }
 
-std::string fault_words() {
-  std::string words;
-  for (const FaultWord& known : kFaultWords) words += (words.empty() ? "" : ", ") + std::string(known.word);
-  return words;
+std::string fault_kind_names() {
+  std::string names;
+  for (const FaultKindName& entry : kFaultKindNames) {
+    names += (names.empty() ? "" : ", ") + std::string(entry.name);
+  }
+  return names;
 }
 
 bool targets_server(Kind kind) {
--- a/lab/run/experiment.h
+++ b/lab/run/experiment.h
@@ -1,7 +1,7 @@
 /// @file
-/// What an experiment is: the nodes, servers, load and faults of a run. Plain records; experiment_reader
-/// fills them from a file, node_settings makes a node's settings of them. Times are seconds from the first
-/// call.
+/// An experiment: the nodes, servers, load and faults of a run. These are plain records: experiment_reader
+/// fills them from a file, and node_settings derives the settings of the nodes from them. Durations are in s;
+/// points in time are in s from the first call. A call is one request of a client, with all its attempts.
 #pragma once
 
 #include <cstdint>
@@ -18,74 +18,78 @@
   std::string name;
   Idempotency idempotency = Idempotency::kIdempotent;
   double latency_objective = 0, client_timeout = 0, dedup_window = 0;
-  double work = 0;   ///< s of one core, in the mean
-  double share = 1;  ///< of the calls, against the other classes
+  double work = 0;   ///< mean CPU time of a request, in s of one core
+  double share = 1;  ///< weight of this class among all classes when calls are generated
 };
 
 struct TenantSpec {
   std::string name;
-  double share = 1;  ///< of the calls, against the other tenants
-  double quota = 0;  ///< calls a second; 0: nodes are given none
+  double share = 1;  ///< weight of this tenant among all tenants when calls are generated
+  double quota = 0;  ///< calls per second; 0: the nodes' settings have no quota for it
 };
 
-/// Servers that are alike. They are named s0, s1 ... over all groups of a tier, with the tier's number before
-/// them from the second tier on: t1-s0.
+/// A group of identical servers. The servers of a tier are numbered across its groups: s0, s1 ... in tier 0,
+/// t1-s0, t1-s1 ... in tier 1, and so on.
 struct ServerGroupSpec {
   int count = 1, tier = 0;
   int cores = 2, slots = 16, queue_limit = 32, connection_limit = 256;
   double idle_timeout = 30;
-  std::vector<std::string> zones;  ///< assigned in turn
+  std::vector<std::string> zones;  ///< assigned round-robin
 };
 
 struct LoadSpec {
   double per_second = 0, from = 0;
-  double until = 0;  ///< 0: to the end
+  double until = 0;  ///< 0: until the end of the run
   int retries = 0;
-  double retry_pause = 0.1;     ///< s in the mean, before a retry
-  double disconnect_share = 0;  ///< of the calls; their client disconnects before the response
-  std::string zone;             ///< whose nodes get the calls; empty: all of them
+  double retry_pause = 0.1;     ///< mean pause before a client retry, in s
+  double disconnect_share = 0;  ///< share of calls whose client disconnects before the response
+  std::string zone;             ///< calls go only to nodes in this zone; empty: to all nodes
 };
 
-/// One step of the fault injection.
+/// One injected fault.
 struct FaultInjection {
   enum class Kind {
-    kHang,            ///< the server takes requests and does nothing
-    kSlow,            ///< it works at `factor` of its speed
-    kFail,            ///< it answers 500
-    kRecover,         ///< it is as at the start
-    kCrash,           ///< connections are reset, new ones refused; discovery removes it 1 s later
-    kStart,           ///< it starts again, in slow start
-    kDrain,           ///< discovery lists it as draining; it works on
-    kRemove,          ///< discovery removes it
-    kDiscoveryDown,   ///< agents accept, answer nothing and learn nothing, for `seconds`
+    kHang,     ///< the server accepts requests and never responds
+    kSlow,     ///< the server works at `factor` of its normal speed
+    kFail,     ///< the server responds with status 500
+    kRecover,  ///< ends kHang, kSlow and kFail
+    kCrash,    ///< the server resets its connections and refuses new ones; discovery removes it 1 s later
+    kStart,    ///< a crashed server starts again, in slow start
+    kDrain,    ///< discovery lists the server as draining; the server keeps working
+    kRemove,   ///< discovery removes the server from the endpoint list
+    kDiscoveryDown,   ///< for `seconds`, agents accept connections but neither respond nor receive updates
     kResetWatches,    ///< all open watches are reset
-    kStallWatches,    ///< open watches send nothing any more
-    kDelayDiscovery,  ///< agents hear of changes `seconds` late from here on
-    kPartition        ///< a zone and the rest lose each other for `seconds`
+    kStallWatches,    ///< open watches send nothing more
+    kDelayDiscovery,  ///< from now on, agents receive changes `seconds` late
+    kPartition        ///< for `seconds`, a zone and all other zones cannot reach each other
   };
   Kind kind = Kind::kHang;
-  double at = 0, seconds = 0, factor = 1;
-  std::string server, zone;
+  double at = 0;       ///< s from the first call
+  double seconds = 0;  ///< duration or delay, see has_duration()
+  double factor = 1;   ///< of kSlow
+  std::string server;  ///< name of the affected server, see targets_server()
+  std::string zone;    ///< of kPartition
 };
 
-/// The word of experiment files and results for a kind of fault.
-const char* word_for(FaultInjection::Kind kind);
-std::optional<FaultInjection::Kind> fault_kind_for(std::string_view word);
-/// All words, with commas between them.
-std::string fault_words();
-/// Whether the fault befalls one server.
+/// The name of a fault kind in experiment files and results.
+const char* fault_kind_name(FaultInjection::Kind kind);
+/// @return nothing when no fault kind has that name
+std::optional<FaultInjection::Kind> fault_kind_from_name(std::string_view name);
+/// The names of all fault kinds, separated by commas.
+std::string fault_kind_names();
+/// Whether the fault affects a single server.
 bool targets_server(FaultInjection::Kind kind);
-/// Whether the fault has `seconds`.
+/// Whether the fault uses `seconds`.
 bool has_duration(FaultInjection::Kind kind);
 
 struct NodesSpec {
   int real_count = 1, hollow_count = 0;
-  int memory_mb = 192, descriptors = 512;  ///< limits of each node
-  std::vector<std::string> zones;          ///< assigned in turn
+  int memory_mb = 192, descriptors = 512;  ///< resource limits of each node
+  std::vector<std::string> zones;          ///< assigned round-robin
   int count() const { return real_count + hollow_count; }
 };
 
-/// What nodes are given as their settings, beside classes, tenants and their own position.
+/// The settings of the nodes, except for classes, tenants and the node's own position.
 struct SettingsSpec {
   int max_attempts = 3;
   bool allow_hedging = false, cancel = true, must_watch = false;
@@ -95,22 +99,22 @@
 };
 
 struct Experiment {
-  std::string name;   ///< the file's name without its ending
-  std::string title;  ///< what the file says of itself
+  std::string name;   ///< file name without extension
+  std::string title;  ///< description from the file
   std::uint64_t seed = 1;
-  double seconds = 0;
+  double seconds = 0;  ///< how long clients send calls
   NodesSpec nodes;
   SettingsSpec settings;
   std::vector<ClassSpec> classes;
   std::vector<TenantSpec> tenants;
   std::vector<ServerGroupSpec> servers;
   std::vector<LoadSpec> loads;
-  std::vector<FaultInjection> faults;  ///< in the order of their times
+  std::vector<FaultInjection> faults;  ///< sorted by time
 
   int tier_count() const;
-  /// The names of a tier's servers, in their order.
+  /// The names of a tier's servers, in the order of their numbers.
   std::vector<std::string> server_names(int tier) const;
-  /// The tier of a server, or nothing where no server has that name.
+  /// @return the tier of a server, or nothing when no server has that name
   std::optional<int> tier_of(const std::string& server) const;
 };
 
--- a/lab/run/experiment_reader.h
+++ b/lab/run/experiment_reader.h
@@ -1,6 +1,6 @@
 /// @file
-/// Reads experiment files. This is the one place where a file's keys are turned into the field's terms: files
-/// that others write keep their keys.
+/// Reads experiment files. Only this reader maps the keys of the files to the names used in the code; the
+/// keys are a stable format, because users keep experiment files of their own.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,15 @@
 
 namespace nettleyoke::lab {
 
-/// What is wrong with an experiment file. The text is "FILE:LINE: PROBLEM".
+/// An error in an experiment file. The text is "FILE:LINE: PROBLEM".
 class ExperimentError : public std::runtime_error {
  public:
-  /// @param line from 1 on; 0 counts as 1
+  /// @param line counted from 1; 0 is reported as 1
   ExperimentError(const std::string& file, std::uint32_t line, const std::string& problem);
 };
 
-/// @throws ExperimentError when the file can't be read, or is not an experiment within one machine's bounds
+/// @throws ExperimentError when the file cannot be read, is not valid, or exceeds the limits that keep an
+///   experiment on one machine
 [[nodiscard]] Experiment read_experiment(const std::string& path);
 
 }  // namespace nettleyoke::lab
--- a/lab/run/experiment_run.cpp
+++ b/lab/run/experiment_run.cpp
@@ -28,10 +28,12 @@
 using boost::system::error_code;
 using node::Clock;
 
-constexpr double kStartupLimitSeconds = 30;   // for the nodes to come up
-constexpr double kShutdownLimitSeconds = 10;  // for them to end, beyond the longest call
-constexpr double kTickSeconds = 0.01;         // between checks of the loop's delay and of what has ended
-constexpr double kServerSideSeconds = 0.5;    // for calls of servers to end behind the longest call
+constexpr double kStartupTimeoutSeconds = 30;  // until all nodes are ready
+constexpr double kShutdownTimeoutSeconds =
+    10;                                // until all nodes have exited, in addition to the longest call
+constexpr double kTickSeconds = 0.01;  // between checks of the event loop's delay, the nodes and the phase
+// After the longest call, until the calls that servers made to the next tier have ended.
+constexpr double kServerCompletionSeconds = 0.5;
 
 InvariantChecker::Rules rules_of(const Experiment& experiment) {
   return {experiment.settings.answer_slack, experiment.settings.drain_grace,
@@ -47,7 +49,7 @@
         signals_(io_, SIGINT, SIGTERM),
         tick_timer_(io_),
         checker_(rules_of(experiment)),
-        fleet_({io_, clock_, checker_}, experiment, {options.program, options.folder}),
+        fleet_({io_, clock_, checker_}, experiment, {options.node_program, options.folder}),
         fault_injector_(io_, clock_, fleet_, experiment.faults,
                         [this](const FaultInjection& fault) { record_fault(fault); }) {
     report_.experiment = &experiment;
@@ -59,11 +61,11 @@
     signals_.async_wait([this](error_code error, int) {
       if (!error) interrupt();
     });
-    options_.progress("start", 0);
-    for (const FleetNode& part : fleet_.nodes()) {
-      part.node->start(part.config, [this] { on_node_ready(); });
+    options_.progress("starting nodes", 0);
+    for (const FleetNode& fleet_node : fleet_.nodes()) {
+      fleet_node.node->start(fleet_node.config, [this] { on_node_ready(); });
     }
-    phase_deadline_ = clock_.now() + kStartupLimitSeconds;
+    phase_deadline_ = clock_.now() + kStartupTimeoutSeconds;
     wait_for_tick(clock_.now() + kTickSeconds);
     io_.run();
     if (!failure_.empty()) throw RunError(failure_);
@@ -72,7 +74,7 @@
   }
 
  private:
-  // Each phase has an end of its own, whatever the nodes do.
+  // Each phase ends after a time limit, whatever the nodes do.
   enum class Phase { kStarting, kLoad, kLastResponses, kStats, kShuttingDown, kFinished };
 
   void on_node_ready() {
@@ -83,7 +85,7 @@
   void begin_load() {
     phase_ = Phase::kLoad;
     first_call_ = clock_.now();
-    options_.progress("calls", 0);
+    options_.progress("running load", 0);
     fleet_.connect_tiers();
     const std::vector<NodeUnderTest*> targets = fleet_.first_tier_nodes();
     for (std::size_t i = 0; i < experiment_.loads.size(); ++i) {
@@ -99,7 +101,7 @@
     const double now = clock_.now();
     switch (phase_) {
       case Phase::kStarting:
-        if (now >= phase_deadline_) fail("not all nodes came up");
+        if (now >= phase_deadline_) fail("not all nodes became ready before the startup timeout");
         break;
       case Phase::kLoad:
         if (now >= phase_deadline_) await_last_responses(now);
@@ -122,14 +124,14 @@
     phase_ = Phase::kLastResponses;
     phase_deadline_ = now + longest_call();
     report_.seconds = now - first_call_;
-    options_.progress("last answers", now - first_call_);
+    options_.progress("waiting for the last responses", now - first_call_);
   }
 
-  // The longest that a call may be open, and a bit for its server's calls to end behind it.
+  // The longest time that a call may be open, plus the time for calls of its servers to end.
   double longest_call() const {
     double timeout = 0;
     for (const ClassSpec& spec : experiment_.classes) timeout = std::max(timeout, spec.client_timeout);
-    return timeout + experiment_.settings.answer_slack + kServerSideSeconds;
+    return timeout + experiment_.settings.answer_slack + kServerCompletionSeconds;
   }
 
   bool all_calls_ended() const {
@@ -141,31 +143,31 @@
   void collect_stats() {
     phase_ = Phase::kStats;
     checker_.close(clock_.now());
-    options_.progress("figures", clock_.now() - first_call_);
+    options_.progress("collecting statistics", clock_.now() - first_call_);
     for (std::size_t i = 0; i < fleet_.nodes().size(); ++i) {
-      const FleetNode& part = fleet_.nodes()[i];
+      const FleetNode& fleet_node = fleet_.nodes()[i];
       NodeResult& result = report_.nodes[i];
-      collect_node(fleet_, part, result);
-      const auto admin = part.node->admin_endpoint();
-      if (!admin || part.node->has_exited()) continue;
+      collect_node(fleet_, fleet_node, result);
+      const auto admin = fleet_node.node->admin_endpoint();
+      if (!admin || fleet_node.node->has_exited()) continue;
       ++open_stats_calls_;
-      call_admin(io_, *admin, "STATS", [this, &result](const std::string& answer) {
+      call_admin(io_, *admin, "STATS", [this, &result](const std::string& response) {
         --open_stats_calls_;
-        result.take_stats(answer.substr(0, answer.find('\n')));
+        result.parse_stats(response.substr(0, response.find('\n')));
       });
     }
   }
 
   void shut_nodes_down() {
     phase_ = Phase::kShuttingDown;
-    phase_deadline_ = clock_.now() + longest_call() + kShutdownLimitSeconds;
-    options_.progress("end", clock_.now() - first_call_);
-    for (const FleetNode& part : fleet_.nodes()) part.node->shut_down();
+    phase_deadline_ = clock_.now() + longest_call() + kShutdownTimeoutSeconds;
+    options_.progress("stopping nodes", clock_.now() - first_call_);
+    for (const FleetNode& fleet_node : fleet_.nodes()) fleet_node.node->shut_down();
   }
 
   bool all_nodes_exited() {
     return std::all_of(fleet_.nodes().begin(), fleet_.nodes().end(),
-                       [](const FleetNode& part) { return part.node->has_exited(); });
+                       [](const FleetNode& fleet_node) { return fleet_node.node->has_exited(); });
   }
 
   void check_exits() {
@@ -173,12 +175,13 @@
       NodeUnderTest& node = *fleet_.nodes()[i].node;
       const std::string& name = report_.nodes[i].name;
       if (!node.has_exited()) {
-        checker_.add_violation(Rule::kGracefulShutdown, name + " did not end after SIGTERM");
+        checker_.add_violation(Rule::kGracefulShutdown, name + " did not exit after SIGTERM");
       } else if (node.exit_status() != 0 && !crashed_nodes_.contains(i)) {
-        checker_.add_violation(Rule::kNoCrash, name + " ended with " + std::to_string(node.exit_status()));
+        checker_.add_violation(Rule::kNoCrash,
+                               name + " exited with status " + std::to_string(node.exit_status()));
       }
       if (node.unsolicited_responses() > 0) {
-        checker_.add_violation(Rule::kOneAnswer, name + " answered what nobody asked");
+        checker_.add_violation(Rule::kOneAnswer, name + " sent a response that answers no request");
       }
     }
     finish();
@@ -198,13 +201,13 @@
     finish();
   }
 
-  // What was in flight then is no node's fault.
+  // Calls that are in flight at the interruption do not count as violations.
   void interrupt() {
     report_.interrupted = true;
     report_.seconds = phase_ == Phase::kStarting ? 0 : clock_.now() - first_call_;
     for (const auto& generator : load_generators_) generator->stop();
     fault_injector_.stop();
-    options_.progress("cut off", report_.seconds);
+    options_.progress("interrupted", report_.seconds);
     shut_nodes_down();
   }
 
@@ -213,7 +216,7 @@
     tick_timer_.async_wait([this, due](error_code cancelled) {
       if (cancelled) return;
       monitor_.record(due, clock_.now());
-      checker_.set_event_loop_delay(monitor_.recent());
+      checker_.set_event_loop_delay(monitor_.recent_delay());
       check_for_crashes();
       advance_phase();
       if (phase_ != Phase::kFinished) wait_for_tick(clock_.now() + kTickSeconds);
@@ -225,23 +228,23 @@
     for (std::size_t i = 0; i < fleet_.nodes().size(); ++i) {
       NodeUnderTest& node = *fleet_.nodes()[i].node;
       if (!node.has_exited() || !crashed_nodes_.insert(i).second) continue;
-      checker_.add_violation(Rule::kNoCrash, report_.nodes[i].name + " ended by itself with " +
+      checker_.add_violation(Rule::kNoCrash, report_.nodes[i].name + " exited unexpectedly with status " +
                                                  std::to_string(node.exit_status()));
-      if (phase_ == Phase::kStarting) return fail("a node ended as it started");
+      if (phase_ == Phase::kStarting) return fail("a node exited during startup");
     }
   }
 
   void record_fault(const FaultInjection& fault) {
-    const std::string word = word_for(fault.kind);
-    options_.progress(word + (fault.server.empty() ? "" : " " + fault.server), clock_.now() - first_call_);
+    const std::string kind = fault_kind_name(fault.kind);
+    options_.progress(kind + (fault.server.empty() ? "" : " " + fault.server), clock_.now() - first_call_);
     if (!targets_server(fault.kind)) return;
-    report_.servers[fleet_.server(fault.server)->number()].faults.push_back({word, fault.at});
+    report_.servers[fleet_.server(fault.server)->number()].faults.push_back({kind, fault.at});
   }
 
   void finish_report() {
     if (!report_.interrupted) checker_.close(clock_.now());
     add_calls(checker_, first_call_, report_);
-    report_.worst_event_loop_delay = monitor_.worst();
+    report_.worst_event_loop_delay = monitor_.worst_delay();
     collect_run(fleet_, report_);
   }
 
@@ -264,17 +267,19 @@
   std::string failure_;
 };
 
-/// While it lives, what hollow nodes log goes into a file, beside the logs of real ones.
+/// During its lifetime, the log of all hollow nodes (std::clog) goes to a file beside the logs of the real
+/// nodes.
 class LogRedirection {
  public:
-  explicit LogRedirection(const std::string& path) : file_(path), before_(std::clog.rdbuf(file_.rdbuf())) {}
-  ~LogRedirection() { std::clog.rdbuf(before_); }
+  explicit LogRedirection(const std::string& path)
+      : file_(path), original_buffer_(std::clog.rdbuf(file_.rdbuf())) {}
+  ~LogRedirection() { std::clog.rdbuf(original_buffer_); }
   LogRedirection(const LogRedirection&) = delete;
   LogRedirection& operator=(const LogRedirection&) = delete;
 
  private:
   std::ofstream file_;
-  std::streambuf* before_;
+  std::streambuf* original_buffer_;
 };
 
 }  // namespace
--- a/lab/run/fault_injector.cpp
+++ b/lab/run/fault_injector.cpp
@@ -12,7 +12,7 @@
 using boost::system::error_code;
 using Kind = FaultInjection::Kind;
 
-constexpr double kCrashDetectionSeconds = 1;  // until discovery removes a server that has crashed
+constexpr double kCrashDetectionSeconds = 1;  // from a server's crash until discovery removes it
 
 std::int64_t unix_milliseconds() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -48,7 +48,7 @@
 void FaultInjector::inject(const FaultInjection& fault) {
   on_injection_(fault);
   if (targets_server(fault.kind)) return inject_into_server(fault, *fleet_.server(fault.server));
-  for (const FleetNode& part : fleet_.nodes()) inject_into_agent(fault, part);
+  for (const FleetNode& fleet_node : fleet_.nodes()) inject_into_agent(fault, fleet_node);
   if (fault.kind == Kind::kPartition) {
     fleet_.set_partitioned_zone(fault.zone);
     net::run_after(io_, fault.seconds, [this] { fleet_.set_partitioned_zone(""); });
@@ -72,11 +72,11 @@
       return crash(server);
     case Kind::kStart:
       server.start();
-      return fleet_.announce(server, EndpointStatus::kUp, unix_milliseconds());
+      return fleet_.publish_status(server, EndpointStatus::kUp, unix_milliseconds());
     case Kind::kDrain:
-      return fleet_.announce(server, EndpointStatus::kDraining, 0);
+      return fleet_.publish_status(server, EndpointStatus::kDraining, 0);
     case Kind::kRemove:
-      return fleet_.announce(server, EndpointStatus::kRemoved, 0);
+      return fleet_.publish_status(server, EndpointStatus::kRemoved, 0);
     default:
       return;
   }
@@ -85,12 +85,12 @@
 void FaultInjector::crash(ServerStandIn& server) {
   server.crash();
   net::run_after(io_, kCrashDetectionSeconds, [this, &server] {
-    if (!server.is_up()) fleet_.announce(server, EndpointStatus::kRemoved, 0);
+    if (!server.is_up()) fleet_.publish_status(server, EndpointStatus::kRemoved, 0);
   });
 }
 
-void FaultInjector::inject_into_agent(const FaultInjection& fault, const FleetNode& part) {
-  DiscoveryAgent& agent = *part.agent;
+void FaultInjector::inject_into_agent(const FaultInjection& fault, const FleetNode& fleet_node) {
+  DiscoveryAgent& agent = *fleet_node.agent;
   switch (fault.kind) {
     case Kind::kDiscoveryDown:
       agent.set_down(true);
@@ -102,7 +102,7 @@
     case Kind::kDelayDiscovery:
       return agent.set_delay(fault.seconds);
     case Kind::kPartition:
-      if (part.node->zone() != fault.zone) return;
+      if (fleet_node.node->zone() != fault.zone) return;
       agent.set_partitioned(true);
       return net::run_after(io_, fault.seconds, [&agent] { agent.set_partitioned(false); });
     default:
--- a/lab/run/fault_injector.h
+++ b/lab/run/fault_injector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Injects an experiment's faults into a fleet as they fall due.
+/// Injects the faults of an experiment into a fleet at their times.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,14 +17,14 @@
  public:
   using OnInjection = std::function<void(const FaultInjection&)>;
 
-  /// @param faults in the order of their times; they and the fleet outlive this
-  /// @param on_injection called for each fault, just before it is injected
+  /// @param faults sorted by time; they and the fleet must outlive this object
+  /// @param on_injection called just before each fault is injected
   FaultInjector(boost::asio::io_context& io, const node::Clock& clock, Fleet& fleet,
                 const std::vector<FaultInjection>& faults, OnInjection on_injection);
 
-  /// @param first_call the time that the faults' times count from, on the lab's clock
+  /// @param first_call time of the first call on the lab's clock; the faults' times are relative to it
   void start(double first_call);
-  /// Injects no more faults. Those that last end on time.
+  /// Injects no more faults. Faults with a duration that have begun still end on time.
   void stop() { timer_.cancel(); }
 
  private:
@@ -32,7 +32,7 @@
   void inject(const FaultInjection& fault);
   void inject_into_server(const FaultInjection& fault, ServerStandIn& server);
   void crash(ServerStandIn& server);
-  void inject_into_agent(const FaultInjection& fault, const FleetNode& part);
+  void inject_into_agent(const FaultInjection& fault, const FleetNode& fleet_node);
 
   boost::asio::io_context& io_;
   const node::Clock& clock_;
--- a/lab/run/fleet.cpp
+++ b/lab/run/fleet.cpp
@@ -10,10 +10,10 @@
 namespace nettleyoke::lab {
 namespace {
 
-std::size_t index_of(int number) { return static_cast<std::size_t>(number); }
+std::size_t to_index(int number) { return static_cast<std::size_t>(number); }
 
-const std::string& in_turn(const std::vector<std::string>& zones, int number) {
-  return zones[index_of(number) % zones.size()];
+const std::string& round_robin(const std::vector<std::string>& zones, int number) {
+  return zones[to_index(number) % zones.size()];
 }
 
 }  // namespace
@@ -22,13 +22,13 @@
     : environment_(environment),
       experiment_(experiment),
       options_(std::move(options)),
-      tiers_(index_of(experiment.tier_count())) {
+      tiers_(to_index(experiment.tier_count())) {
   for (const ServerGroupSpec& spec : experiment.servers) add_server_group(spec);
   add_nodes();
 }
 
 void Fleet::add_server_group(const ServerGroupSpec& spec) {
-  ServerTier& tier = tiers_[index_of(spec.tier)];
+  ServerTier& tier = tiers_[to_index(spec.tier)];
   const std::vector<std::string> names = experiment_.server_names(spec.tier);
   ServerModel::Shape shape;
   shape.cores = spec.cores;
@@ -36,10 +36,10 @@
   shape.queue_limit = spec.queue_limit;
   shape.initial_capacity = experiment_.settings.initial_capacity;
   shape.slow_start_duration = experiment_.settings.slow_start_duration;
-  const ServerStandIn::Limits limits{index_of(spec.connection_limit), spec.idle_timeout};
+  const ServerStandIn::Limits limits{to_index(spec.connection_limit), spec.idle_timeout};
   for (int i = 0; i < spec.count; ++i) {
     const std::string& name = names[tier.servers.size()];
-    const std::string& zone = in_turn(spec.zones, i);
+    const std::string& zone = round_robin(spec.zones, i);
     tier.servers.push_back(std::make_unique<ServerStandIn>(environment_.io, environment_.clock,
                                                            environment_.checker, name, shape, limits,
                                                            experiment_.classes, experiment_.seed));
@@ -52,50 +52,53 @@
   }
 }
 
-// Those of the first tier, and in each further one a node beside every server of the tier before.
+// Adds the nodes of the first tier, and for each further tier one node beside every server of the previous
+// tier.
 void Fleet::add_nodes() {
   const NodesSpec& spec = experiment_.nodes;
   for (int i = 0; i < spec.real_count; ++i) {
-    add_node("n" + std::to_string(i), {0, in_turn(spec.zones, i), i, spec.count()}, false);
+    add_node("n" + std::to_string(i), {0, round_robin(spec.zones, i), i, spec.count()}, false);
   }
   for (int i = 0; i < spec.hollow_count; ++i) {
-    add_node("h" + std::to_string(i), {0, in_turn(spec.zones, i), spec.real_count + i, spec.count()}, true);
+    add_node("h" + std::to_string(i), {0, round_robin(spec.zones, i), spec.real_count + i, spec.count()},
+             true);
   }
   for (int tier = 1; tier < experiment_.tier_count(); ++tier) {
-    const std::vector<std::string>& zones = tiers_[index_of(tier) - 1].zones;
+    const std::vector<std::string>& zones = tiers_[to_index(tier) - 1].zones;
     const int count = static_cast<int>(zones.size());
     for (int i = 0; i < count; ++i) {
-      add_node("t" + std::to_string(tier) + "-n" + std::to_string(i), {tier, zones[index_of(i)], i, count},
+      add_node("t" + std::to_string(tier) + "-n" + std::to_string(i), {tier, zones[to_index(i)], i, count},
                false);
     }
   }
 }
 
 void Fleet::add_node(const std::string& name, const NodePosition& position, bool is_hollow) {
-  FleetNode part;
-  part.name = name;
-  part.tier = position.tier;
+  FleetNode fleet_node;
+  fleet_node.name = name;
+  fleet_node.tier = position.tier;
   const std::size_t number = environment_.checker.add_node(name);
-  const EndpointCatalog& catalog = tiers_[index_of(position.tier)].catalog;
+  const EndpointCatalog& catalog = tiers_[to_index(position.tier)].catalog;
   const auto notification = experiment_.settings.must_watch ? DiscoveryAgent::Notification::kWhileWatching
                                                             : DiscoveryAgent::Notification::kAtOnce;
-  part.agent = std::make_unique<DiscoveryAgent>(environment_.io, environment_.clock, environment_.checker,
-                                                number, notification);
-  part.agent->publish(catalog);
+  fleet_node.agent = std::make_unique<DiscoveryAgent>(environment_.io, environment_.clock,
+                                                      environment_.checker, number, notification);
+  fleet_node.agent->publish(catalog);
   if (is_hollow) {
-    part.node = make_hollow_node(name, position.zone, number);
+    fleet_node.node = make_hollow_node(name, position.zone, number);
   } else {
-    auto real =
-        std::make_unique<RealNode>(environment_.io, environment_.checker,
-                                   RealNode::Options{options_.program, options_.folder, name, position.zone,
-                                                     number, index_of(experiment_.nodes.descriptors)});
-    part.real = real.get();
-    part.node = std::move(real);
+    auto real = std::make_unique<RealNode>(
+        environment_.io, environment_.checker,
+        RealNode::Options{options_.node_program, options_.folder, name, position.zone, number,
+                          to_index(experiment_.nodes.descriptors)});
+    fleet_node.real = real.get();
+    fleet_node.node = std::move(real);
   }
   std::ostringstream agent_address;
-  agent_address << part.agent->endpoint();
-  part.config = node_config_json(experiment_, position, {name, agent_address.str(), catalog.full_list()});
-  nodes_.push_back(std::move(part));
+  agent_address << fleet_node.agent->endpoint();
+  fleet_node.config =
+      node_config_json(experiment_, position, {name, agent_address.str(), catalog.full_list()});
+  nodes_.push_back(std::move(fleet_node));
 }
 
 std::unique_ptr<NodeUnderTest> Fleet::make_hollow_node(const std::string& name, const std::string& zone,
@@ -108,8 +111,8 @@
 
 std::vector<NodeUnderTest*> Fleet::first_tier_nodes() const {
   std::vector<NodeUnderTest*> nodes;
-  for (const FleetNode& part : nodes_) {
-    if (part.tier == 0) nodes.push_back(part.node.get());
+  for (const FleetNode& fleet_node : nodes_) {
+    if (fleet_node.tier == 0) nodes.push_back(fleet_node.node.get());
   }
   return nodes;
 }
@@ -135,7 +138,7 @@
                        [&server](const auto& each) { return each.get() == &server; });
   };
   const auto found = std::find_if(tiers_.begin(), tiers_.end(), has_server);
-  if (found == tiers_.end()) throw std::logic_error("a server of no tier");
+  if (found == tiers_.end()) throw std::logic_error("the server belongs to no tier of the fleet");
   return *found;
 }
 
@@ -145,20 +148,20 @@
       if (tier.servers[i].get() == &server) return tier.zones[i];
     }
   }
-  throw std::logic_error("a server of no tier");
+  throw std::logic_error("the server belongs to no tier of the fleet");
 }
 
 bool Fleet::is_partitioned(const std::string& zone, const std::string& other_zone) const {
   return !partitioned_zone_.empty() && (zone == partitioned_zone_) != (other_zone == partitioned_zone_);
 }
 
-void Fleet::announce(const ServerStandIn& server, EndpointStatus status, std::int64_t since_ms) {
+void Fleet::publish_status(const ServerStandIn& server, EndpointStatus status, std::int64_t since_ms) {
   ServerTier& tier = tier_of(server);
   const auto listed = tier.catalog.entries().find(server.name());
   const bool is_listed = listed != tier.catalog.entries().end();
   EndpointEntry entry{server.name(), "", zone_of(server), status, since_ms};
   if (is_listed && since_ms == 0) entry.since_ms = listed->second.since_ms;
-  // A server that is down has no address any more, but the last that was listed.
+  // A server that is down has no address; its entry keeps the address listed last.
   if (server.is_up()) {
     entry.address = server.address();
   } else if (is_listed) {
@@ -172,12 +175,12 @@
 void Fleet::publish(ServerTier& tier, const EndpointEntry& entry) {
   tier.catalog.set(entry);
   if (&tier == &tiers_.front()) published_at_[tier.catalog.version()] = environment_.clock.now();
-  for (FleetNode& part : nodes_) {
-    if (&tiers_[index_of(part.tier)] == &tier) part.agent->publish(tier.catalog);
+  for (FleetNode& fleet_node : nodes_) {
+    if (&tiers_[to_index(fleet_node.tier)] == &tier) fleet_node.agent->publish(tier.catalog);
   }
 }
 
-// Hollow nodes stand in the first tier alone. A version that they had from the start was never published.
+// Hollow nodes are only in the first tier. The version that a node starts with was not published.
 void Fleet::on_version_in_force(std::uint64_t version) {
   const auto published = published_at_.find(version);
   if (published == published_at_.end()) return;
--- a/lab/run/fleet.h
+++ b/lab/run/fleet.h
@@ -1,6 +1,6 @@
 /// @file
-/// All that takes part in a run beside the load: servers, discovery's agents and nodes. It sets them up and
-/// knows where they stand; it decides nothing about when what happens.
+/// The servers, discovery agents and nodes of a run. The fleet creates them and finds them by name, tier and
+/// zone; the timing of a run is up to its users.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,58 +22,59 @@
 
 namespace nettleyoke::lab {
 
-/// The servers of a tier and what discovery holds of them.
+/// The servers of a tier, with discovery's list of them.
 struct ServerTier {
   EndpointCatalog catalog;
   std::vector<std::unique_ptr<ServerStandIn>> servers;
-  std::vector<std::string> zones;  ///< of the servers
+  std::vector<std::string> zones;  ///< of the servers, in their order
 };
 
-/// A node with its agent.
+/// A node with its discovery agent.
 struct FleetNode {
   std::string name;
   int tier = 0;
   std::unique_ptr<DiscoveryAgent> agent;
   std::unique_ptr<NodeUnderTest> node;
-  RealNode* real = nullptr;  ///< the same node, if it is a real one
-  std::string config;
+  RealNode* real = nullptr;  ///< the same node as `node`; null for a hollow node
+  std::string config;        ///< JSON text of its configuration
 };
 
 class Fleet {
  public:
-  /// What the fleet runs on. All of it outlives the fleet.
+  /// What the fleet uses. All of it must outlive the fleet.
   struct Environment {
     boost::asio::io_context& io;
     const node::Clock& clock;
     InvariantChecker& checker;
   };
   struct Options {
-    std::string program;  ///< of real nodes
-    std::string folder;   ///< for the nodes' files
+    std::string node_program;  ///< path of the executable of real nodes
+    std::string folder;        ///< for the nodes' configurations and logs
   };
 
-  /// @param experiment outlives this
+  /// @param experiment must outlive this object
   Fleet(const Environment& environment, const Experiment& experiment, Options options);
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /// In the checker's order.
+  /// The nodes, in the order of their numbers in the checker.
   const std::vector<FleetNode>& nodes() const { return nodes_; }
   const std::vector<ServerTier>& tiers() const { return tiers_; }
+  /// The nodes that clients call.
   std::vector<NodeUnderTest*> first_tier_nodes() const;
-  /// Null where no server has that name.
+  /// @return null when no server has that name
   ServerStandIn* server(const std::string& name) const;
 
-  /// Lets servers call the next tier through the nodes beside them, which are ready.
+  /// Makes every server with a next tier call that tier through the node beside it. All nodes must be ready.
   void connect_tiers();
-  /// Discovery gets a new state of a server.
-  /// @param since_ms Unix time of its start in ms; 0: as it was listed
-  void announce(const ServerStandIn& server, EndpointStatus status, std::int64_t since_ms);
-  /// Cuts a zone off from the rest: what nodes send across is lost. Empty: no zone.
+  /// Publishes a server's status through discovery.
+  /// @param since_ms Unix time of the server's start in ms; 0: the listed time stays
+  void publish_status(const ServerStandIn& server, EndpointStatus status, std::int64_t since_ms);
+  /// Partitions a zone from all other zones: what nodes send across the border is lost. Empty: no partition.
   void set_partitioned_zone(const std::string& zone) { partitioned_zone_ = zone; }
 
-  /// From when discovery had a change until a hollow node's balancer had it, in s, over all changes and
-  /// nodes.
+  /// Times from the publication of a change until a hollow node's balancer has it in force, in s: one for
+  /// each change and hollow node.
   const std::vector<double>& propagation_times() const { return propagation_times_; }
 
  private:
--- a/lab/run/node_settings.cpp
+++ b/lab/run/node_settings.cpp
@@ -10,7 +10,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-// What experiments don't vary.
+// Settings that are the same in all experiments.
 constexpr double kLateValue = 0.5;
 constexpr double kGranularitySeconds = 0.005;
 constexpr double kNodeAnswerSlackSeconds = 0.02;
@@ -27,32 +27,33 @@
     write_bounds();
     write_classes();
     write_tenants();
-    number("granularity", kGranularitySeconds);
-    whole("peersTotal", position_.replica_count);
-    whole("position", position_.replica_index);
-    text("registryMode", experiment_.settings.must_watch ? "subscribe" : "automatic");
+    write_number("granularity", kGranularitySeconds);
+    write_integer("peersTotal", position_.replica_count);
+    write_integer("position", position_.replica_index);
+    write_string("registryMode", experiment_.settings.must_watch ? "subscribe" : "automatic");
     write_rules();
-    whole("stage", position_.tier);
+    write_integer("stage", position_.tier);
     const std::vector<std::string>& zones = experiment_.nodes.zones;
-    whole("zone", static_cast<int>(std::find(zones.begin(), zones.end(), position_.zone) - zones.begin()));
+    write_integer("zone",
+                  static_cast<int>(std::find(zones.begin(), zones.end(), position_.zone) - zones.begin()));
     json_.EndObject();
     return {buffer_.GetString(), buffer_.GetSize()};
   }
 
  private:
-  void text(const char* field, const std::string& value) {
+  void write_string(const char* field, const std::string& value) {
     json_.Key(field);
     json_.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
   }
-  void number(const char* field, double value) {
+  void write_number(const char* field, double value) {
     json_.Key(field);
     json_.Double(value);
   }
-  void whole(const char* field, int value) {
+  void write_integer(const char* field, int value) {
     json_.Key(field);
     json_.Int(value);
   }
-  void flag(const char* field, bool value) {
+  void write_boolean(const char* field, bool value) {
     json_.Key(field);
     json_.Bool(value);
   }
@@ -67,13 +68,13 @@
     const SettingsSpec& settings = experiment_.settings;
     json_.Key("bounds");
     json_.StartObject();
-    flag("cancel", settings.cancel);
-    whole("maxAttempts", settings.max_attempts);
-    number("maxRetryAfter", settings.max_retry_after);
-    flag("retryAfter", settings.max_retry_after > 0);
-    flag("secondCopies", settings.allow_hedging);
-    number("dialTimeout", settings.connect_timeout);
-    number("idleClose", settings.server_idle_timeout);
+    write_boolean("cancel", settings.cancel);
+    write_integer("maxAttempts", settings.max_attempts);
+    write_number("maxRetryAfter", settings.max_retry_after);
+    write_boolean("retryAfter", settings.max_retry_after > 0);
+    write_boolean("secondCopies", settings.allow_hedging);
+    write_number("dialTimeout", settings.connect_timeout);
+    write_number("idleClose", settings.server_idle_timeout);
     json_.EndObject();
   }
   void write_classes() {
@@ -84,18 +85,18 @@
   }
   void write_class(const ClassSpec& spec) {
     json_.StartObject();
-    text("name", spec.name);
-    number("aim", spec.latency_objective);
-    number("giveUp", spec.client_timeout);
-    number("lateWorth", kLateValue);
-    text("effect", effect_word(spec.idempotency));
+    write_string("name", spec.name);
+    write_number("aim", spec.latency_objective);
+    write_number("giveUp", spec.client_timeout);
+    write_number("lateWorth", kLateValue);
+    write_string("effect", effect_name(spec.idempotency));
     if (spec.idempotency == Idempotency::kIdempotencyKey) {
-      text("group", "all");
-      number("dedupWindow", spec.dedup_window);
+      write_string("group", "all");
+      write_number("dedupWindow", spec.dedup_window);
     }
     json_.EndObject();
   }
-  static const char* effect_word(Idempotency idempotency) {
+  static const char* effect_name(Idempotency idempotency) {
     switch (idempotency) {
       case Idempotency::kIdempotent:
         return "safe";
@@ -111,9 +112,9 @@
     json_.StartArray();
     for (const TenantSpec& spec : experiment_.tenants) {
       json_.StartObject();
-      text("name", spec.name);
-      number("share", spec.share);
-      if (spec.quota > 0) number("allowancePerS", spec.quota);
+      write_string("name", spec.name);
+      write_number("share", spec.share);
+      if (spec.quota > 0) write_number("allowancePerS", spec.quota);
       json_.EndObject();
     }
     json_.EndArray();
@@ -122,11 +123,11 @@
     const SettingsSpec& settings = experiment_.settings;
     json_.Key("rules");
     json_.StartObject();
-    number("answerSlack", kNodeAnswerSlackSeconds);
-    number("askWithin", kWatchDeadlineSeconds);
-    number("drainGrace", settings.drain_grace);
-    number("rampTime", settings.slow_start_duration);
-    number("startCapacity", settings.initial_capacity);
+    write_number("answerSlack", kNodeAnswerSlackSeconds);
+    write_number("askWithin", kWatchDeadlineSeconds);
+    write_number("drainGrace", settings.drain_grace);
+    write_number("rampTime", settings.slow_start_duration);
+    write_number("startCapacity", settings.initial_capacity);
     json_.EndObject();
   }
 
--- a/lab/run/node_settings.h
+++ b/lab/run/node_settings.h
@@ -1,6 +1,6 @@
 /// @file
-/// The settings and the configuration that an experiment gives to a node, as JSON by the published pages.
-/// This is the one place of the lab that knows their keys.
+/// Writes the settings and the configuration of a node in an experiment as JSON, in the documented format of
+/// the node. Only this file of the lab contains their keys.
 #pragma once
 
 #include <string>
@@ -9,24 +9,24 @@
 
 namespace nettleyoke::lab {
 
-/// Where a node stands in its tier.
+/// A node's position among the replicas of its tier.
 struct NodePosition {
   int tier = 0;
   std::string zone;
   int replica_index = 0, replica_count = 1;
 };
 
-/// The object that a node's configuration holds under `settings`.
+/// The JSON object under `settings` in a node's configuration.
 [[nodiscard]] std::string settings_json(const Experiment& experiment, const NodePosition& position);
 
-/// What a node's configuration has beside its settings.
+/// The fields of a node's configuration that are not part of its settings and differ between nodes.
 struct NodeIdentity {
   std::string name;
-  std::string discovery;      ///< the address of its agent
-  std::string endpoint_list;  ///< the list that it starts with, as discovery's JSON
+  std::string discovery;      ///< address of the node's discovery agent
+  std::string endpoint_list;  ///< the list that the node starts with, in discovery's JSON format
 };
 
-/// A whole configuration.
+/// The complete configuration of a node as JSON.
 [[nodiscard]] std::string node_config_json(const Experiment& experiment, const NodePosition& position,
                                            const NodeIdentity& identity);
 
--- a/lab/run/run_results.cpp
+++ b/lab/run/run_results.cpp
@@ -5,15 +5,15 @@
 namespace nettleyoke::lab {
 namespace {
 
-double seconds(const timeval& time) {
+double to_seconds(const timeval& time) {
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
 }
 
-void collect_own_usage(Report& report) {
+void collect_lab_usage(Report& report) {
   rusage usage{};
   ::getrusage(RUSAGE_SELF, &usage);
-  report.own_cpu = seconds(usage.ru_utime) + seconds(usage.ru_stime);
-  report.own_memory_mb = static_cast<double>(usage.ru_maxrss) / 1e3;  // it is in KB
+  report.lab_cpu = to_seconds(usage.ru_utime) + to_seconds(usage.ru_stime);
+  report.lab_memory_mb = static_cast<double>(usage.ru_maxrss) / 1e3;  // ru_maxrss is in KB
 }
 
 }  // namespace
@@ -25,30 +25,30 @@
       report.servers[server->number()].name = server->name();
     }
   }
-  for (const FleetNode& part : fleet.nodes()) {
+  for (const FleetNode& fleet_node : fleet.nodes()) {
     NodeResult& result = report.nodes.emplace_back();
-    result.name = part.name;
-    result.kind = part.node->kind();
-    result.tier = part.tier;
+    result.name = fleet_node.name;
+    result.kind = fleet_node.node->kind();
+    result.tier = fleet_node.tier;
   }
 }
 
-void collect_node(const Fleet& fleet, const FleetNode& part, NodeResult& result) {
-  const NodeUnderTest::Usage usage = part.node->usage();
+void collect_node(const Fleet& fleet, const FleetNode& fleet_node, NodeResult& result) {
+  const NodeUnderTest::Usage usage = fleet_node.node->usage();
   result.cpu = usage.cpu;
   result.memory_mb = static_cast<double>(usage.memory) / 1e6;
-  const DiscoveryAgent::Counters& counters = part.agent->counters();
+  const DiscoveryAgent::Counters& counters = fleet_node.agent->counters();
   result.watch_calls = counters.calls;
   result.full_lists = counters.full_lists;
   result.control_bytes_in = counters.bytes_in;
   result.control_bytes_out = counters.bytes_out;
-  result.list_version = part.node->list_version().value_or(part.agent->version());
-  result.latest_version = fleet.tiers()[static_cast<std::size_t>(part.tier)].catalog.version();
+  result.list_version = fleet_node.node->list_version().value_or(fleet_node.agent->version());
+  result.latest_version = fleet.tiers()[static_cast<std::size_t>(fleet_node.tier)].catalog.version();
 }
 
 void collect_run(const Fleet& fleet, Report& report) {
   report.propagation_times = fleet.propagation_times();
-  collect_own_usage(report);
+  collect_lab_usage(report);
   for (const ServerTier& tier : fleet.tiers()) {
     for (const auto& server : tier.servers) {
       ServerResult& result = report.servers[server->number()];
--- a/lab/run/run_results.h
+++ b/lab/run/run_results.h
@@ -1,5 +1,5 @@
 /// @file
-/// Collects what a fleet and the lab's own process have used into a report.
+/// Collects results and resource usage of a fleet and of the lab's own process into a report.
 #pragma once
 
 #include "report/report.h"
@@ -7,13 +7,17 @@
 
 namespace nettleyoke::lab {
 
-/// Lists the fleet's nodes and servers in a report, in the checker's order.
+/// Adds an entry for each node and server of the fleet to a report, in the order of their numbers in the
+/// checker.
 void add_fleet(const Fleet& fleet, Report& report);
 
-/// Takes what a node and its agent have used so far.
-void collect_node(const Fleet& fleet, const FleetNode& part, NodeResult& result);
+/// Records the resource usage of a node, the traffic of its discovery agent and its list versions so far.
+/// @param fleet_node a node of `fleet`
+/// @param result the node's entry in the report
+void collect_node(const Fleet& fleet, const FleetNode& fleet_node, NodeResult& result);
 
-/// Takes what servers have done, the propagation of changes and what the lab's process has used.
+/// Records the servers' connections and work, the propagation times and the resource usage of the lab's
+/// process.
 void collect_run(const Fleet& fleet, Report& report);
 
 }  // namespace nettleyoke::lab
--- a/lab/run/toml_table.cpp
+++ b/lab/run/toml_table.cpp
@@ -9,48 +9,48 @@
 namespace nettleyoke::lab {
 namespace {
 
-constexpr std::size_t kMaxWordLength = 64;
+constexpr std::size_t kMaxIdentifierLength = 64;
 
-// A number without needless zeros.
-std::string plain(double number) {
+// The number without trailing zeros.
+std::string format_number(double number) {
   std::string digits = std::to_string(number);
   digits.erase(digits.find_last_not_of('0') + 1);
   if (digits.back() == '.') digits.pop_back();
   return digits;
 }
 
-bool is_word_letter(unsigned char letter) {
-  return std::isalnum(letter) != 0 || letter == '-' || letter == '_';
+bool is_identifier_character(unsigned char character) {
+  return std::isalnum(character) != 0 || character == '-' || character == '_';
 }
 
 }  // namespace
 
-void TomlTable::reject(const std::string& field, const std::string& wanted) const {
+void TomlTable::reject(const std::string& field, const std::string& expected) const {
   const toml::node* node = table_->get(field);
-  fail(node != nullptr ? node->source() : table_->source(), field, wanted);
+  fail(node != nullptr ? node->source() : table_->source(), field, "must be " + expected);
 }
 
 double TomlTable::number(const char* field, std::optional<double> fallback, double min, double max) {
-  const toml::node* node = find(field, fallback ? Presence::kOptional : Presence::kNeeded);
+  const toml::node* node = find(field, fallback ? Presence::kOptional : Presence::kRequired);
   if (node == nullptr) return *fallback;
   const std::optional<double> value = node->value<double>();
   if (!node->is_number() || !value || !(*value >= min && *value <= max)) {
-    reject(field, "a number from " + plain(min) + " to " + plain(max));
+    reject(field, "a number from " + format_number(min) + " to " + format_number(max));
   }
   return *value;
 }
 
-int TomlTable::whole(const char* field, std::optional<int> fallback, int min, int max) {
-  const toml::node* node = find(field, fallback ? Presence::kOptional : Presence::kNeeded);
+int TomlTable::integer(const char* field, std::optional<int> fallback, int min, int max) {
+  const toml::node* node = find(field, fallback ? Presence::kOptional : Presence::kRequired);
   if (node == nullptr) return *fallback;
   const std::optional<std::int64_t> value = node->value_exact<std::int64_t>();
   if (!value || *value < min || *value > max) {
-    reject(field, "a whole number from " + std::to_string(min) + " to " + std::to_string(max));
+    reject(field, "an integer from " + std::to_string(min) + " to " + std::to_string(max));
   }
   return static_cast<int>(*value);
 }
 
-bool TomlTable::flag(const char* field, bool fallback) {
+bool TomlTable::boolean(const char* field, bool fallback) {
   const toml::node* node = find(field, Presence::kOptional);
   if (node == nullptr) return fallback;
   const std::optional<bool> value = node->value_exact<bool>();
@@ -58,37 +58,38 @@
   return *value;
 }
 
-std::string TomlTable::text(const char* field, const std::optional<std::string>& fallback) {
-  const toml::node* node = find(field, fallback ? Presence::kOptional : Presence::kNeeded);
+std::string TomlTable::string(const char* field, const std::optional<std::string>& fallback) {
+  const toml::node* node = find(field, fallback ? Presence::kOptional : Presence::kRequired);
   if (node == nullptr) return *fallback;
   std::optional<std::string> value = node->value_exact<std::string>();
-  if (!value || value->empty()) reject(field, "a text");
+  if (!value || value->empty()) reject(field, "a non-empty string");
   return *std::move(value);
 }
 
-std::string TomlTable::word(const char* field) {
-  std::string value = text(field, std::nullopt);
-  if (!std::all_of(value.begin(), value.end(), is_word_letter) || value.size() > kMaxWordLength) {
-    reject(field, "a word of letters, digits, - and _");
+std::string TomlTable::identifier(const char* field) {
+  std::string value = string(field, std::nullopt);
+  if (!std::all_of(value.begin(), value.end(), is_identifier_character) ||
+      value.size() > kMaxIdentifierLength) {
+    reject(field, "a name of at most " + std::to_string(kMaxIdentifierLength) + " letters, digits, - and _");
   }
   return value;
 }
 
-std::vector<std::string> TomlTable::texts(const char* field) {
-  constexpr const char* kWanted = "a list of words";
+std::vector<std::string> TomlTable::strings(const char* field) {
+  constexpr const char* kExpected = "a list of non-empty strings";
   std::vector<std::string> values;
   const toml::node* node = find(field, Presence::kOptional);
   if (node == nullptr) return values;
-  if (!node->is_array()) reject(field, kWanted);
+  if (!node->is_array()) reject(field, kExpected);
   for (const toml::node& item : *node->as_array()) {
     const std::optional<std::string> value = item.value_exact<std::string>();
-    if (!value || value->empty()) reject(field, kWanted);
+    if (!value || value->empty()) reject(field, kExpected);
     values.push_back(*value);
   }
   return values;
 }
 
-TomlTable TomlTable::table(const char* field) {
+TomlTable TomlTable::subtable(const char* field) {
   static const toml::table empty;
   const toml::node* node = find(field, Presence::kOptional);
   if (node == nullptr) return {*file_, field, empty};
@@ -97,13 +98,13 @@
 }
 
 std::vector<TomlTable> TomlTable::tables(const char* field, Presence presence) {
-  const std::string wanted = "a list of tables ([[" + std::string(field) + "]])";
+  const std::string expected = "an array of tables ([[" + std::string(field) + "]])";
   std::vector<TomlTable> values;
   const toml::node* node = find(field, presence);
   if (node == nullptr) return values;
-  if (!node->is_array()) reject(field, wanted);
+  if (!node->is_array()) reject(field, expected);
   for (const toml::node& item : *node->as_array()) {
-    if (!item.is_table()) reject(field, wanted);
+    if (!item.is_table()) reject(field, expected);
     values.emplace_back(*file_, field, *item.as_table());
   }
   return values;
@@ -112,23 +113,23 @@
 void TomlTable::reject_unknown_fields() const {
   for (const auto& [key, node] : *table_) {
     const std::string field(key.str());
-    if (!read_fields_.contains(field)) fail(node.source(), field, "a field that is known here");
+    if (!read_fields_.contains(field)) fail(node.source(), field, "is not a known field");
   }
 }
 
 const toml::node* TomlTable::find(const char* field, Presence presence) {
   read_fields_.insert(field);
   const toml::node* node = table_->get(field);
-  if (node == nullptr && presence == Presence::kNeeded) {
-    fail(table_->source(), field, "there, and it is needed");
+  if (node == nullptr && presence == Presence::kRequired) {
+    fail(table_->source(), field, "is required");
   }
   return node;
 }
 
 void TomlTable::fail(const toml::source_region& where, const std::string& field,
-                     const std::string& wanted) const {
+                     const std::string& problem) const {
   const std::string qualified = name_.empty() ? field : name_ + "." + field;
-  throw ExperimentError(*file_, where.begin.line, qualified + " is not " + wanted);
+  throw ExperimentError(*file_, where.begin.line, qualified + " " + problem);
 }
 
 }  // namespace nettleyoke::lab
--- a/lab/run/toml_table.h
+++ b/lab/run/toml_table.h
@@ -1,5 +1,6 @@
 /// @file
-/// A table of a TOML file, read field by field with limits. It knows nothing of experiments.
+/// A table of a TOML file, read field by field with type and range checks. It is independent of what the file
+/// describes.
 #pragma once
 
 #define TOML_EXCEPTIONS 1
@@ -12,28 +13,33 @@
 
 namespace nettleyoke::lab {
 
-/// Each field is taken by name, and reject_unknown_fields() complains of what is left. All readers throw
-/// ExperimentError, which names the file, the line and the field. The parsed file outlives this.
+/// Reads fields by name; reject_unknown_fields() rejects every field that has not been read. All readers
+/// throw ExperimentError, which names the file, the line and the field. The parsed file must outlive this
+/// object.
 class TomlTable {
  public:
-  /// @param name how errors call the table; empty for the file as a whole
+  /// @param name the table's name in errors; empty for the top-level table
   TomlTable(const std::string& file, std::string name, const toml::table& table)
       : file_(&file), name_(std::move(name)), table_(&table) {}
 
-  [[noreturn]] void reject(const std::string& field, const std::string& wanted) const;
+  /// @param expected what the field must be
+  /// @throws ExperimentError always
+  [[noreturn]] void reject(const std::string& field, const std::string& expected) const;
 
-  /// @param fallback for a field that is missing; without one the field is needed
+  /// @param fallback the value of a missing field; without a fallback the field is required
   double number(const char* field, std::optional<double> fallback, double min, double max);
-  int whole(const char* field, std::optional<int> fallback, int min, int max);
-  bool flag(const char* field, bool fallback);
-  std::string text(const char* field, const std::optional<std::string>& fallback);
-  /// A needed word that may stand in a header and a path.
-  std::string word(const char* field);
-  /// A list of texts; empty where there is none.
-  std::vector<std::string> texts(const char* field);
-  /// A table within this one; an empty one where there is none.
-  TomlTable table(const char* field);
-  enum class Presence { kNeeded, kOptional };
+  int integer(const char* field, std::optional<int> fallback, int min, int max);
+  bool boolean(const char* field, bool fallback);
+  /// A string that is not empty.
+  std::string string(const char* field, const std::optional<std::string>& fallback);
+  /// A required string of letters, digits, - and _, which is valid in a header and in a path.
+  std::string identifier(const char* field);
+  /// A list of strings; empty when the field is missing.
+  std::vector<std::string> strings(const char* field);
+  /// A table within this one; an empty table when the field is missing.
+  TomlTable subtable(const char* field);
+  enum class Presence { kRequired, kOptional };
+  /// An array of tables ([[field]]).
   std::vector<TomlTable> tables(const char* field, Presence presence);
 
   void reject_unknown_fields() const;
@@ -41,7 +47,7 @@
  private:
   const toml::node* find(const char* field, Presence presence);
   [[noreturn]] void fail(const toml::source_region& where, const std::string& field,
-                         const std::string& wanted) const;
+                         const std::string& problem) const;
 
   const std::string* file_;
   std::string name_;
--- a/tests/lab/experiment_reader_test.cpp
+++ b/tests/lab/experiment_reader_test.cpp
@@ -43,28 +43,29 @@
   const std::string good = kGoodFile;
   EXPECT_EQ(error_of(good), "");
   EXPECT_EQ(error_of("seconds = 1.0 2"), ":1: " + error_of("seconds = 1.0 2").substr(4));
-  EXPECT_EQ(error_of("seconds = \"long\"\n"), ":1: seconds is not a number from 0.1 to 600");
-  EXPECT_EQ(error_of(good + "retires = 2\n"), ":12: callers.retires is not a field that is known here");
-  EXPECT_EQ(error_of(good + "zone = \"b\"\n"), ":12: callers.zone is not a zone of [nodes] zones");
-  EXPECT_EQ(error_of(good + "[[change]]\nat = 0.5\nkind = \"hang\"\nserver = \"s2\"\n"),
-            ":15: change.server is not a server (s0, s1 ..., in tier 1 t1-s0 ...)");
+  EXPECT_EQ(error_of("seconds = \"long\"\n"), ":1: seconds must be a number from 0.1 to 600");
+  EXPECT_EQ(error_of(good + "retires = 2\n"), ":12: callers.retires is not a known field");
+  EXPECT_EQ(error_of(good + "zone = \"b\"\n"), ":12: callers.zone must be one of the zones in nodes.zones");
+  EXPECT_EQ(
+      error_of(good + "[[change]]\nat = 0.5\nkind = \"hang\"\nserver = \"s2\"\n"),
+      ":15: change.server must be the name of a server (s0, s1 ... in tier 0; t1-s0, t1-s1 ... in tier 1)");
   EXPECT_EQ(error_of(good + "[[change]]\nat = 2.0\nkind = \"reset\"\n"),
-            ":13: change.at is not a number from 0 to 1");
+            ":13: change.at must be a number from 0 to 1");
   EXPECT_EQ(error_of(good + "[[servers]]\ncount = 1\ntier = 2\n"),
-            ":8: servers is not servers of tier 0, 1 ... with no tier left out");
-  EXPECT_EQ(error_of(good + "[nodes]\ncount = 0\n"), ":13: nodes.count is not at least 1, where hollow is 0");
+            ":8: servers must be in consecutive tiers that start at 0");
+  EXPECT_EQ(error_of(good + "[nodes]\ncount = 0\n"), ":13: nodes.count must be at least 1 when hollow is 0");
 }
 
 TEST(ExperimentReader, FaultOfEachWord_KeepsItsWordInResults) {
-  const std::string words = fault_words();
+  const std::string words = fault_kind_names();
   EXPECT_EQ(words, "hang, slow, fail, mend, crash, start, drain, remove, silence, reset, stall, late, cut");
   for (const char* word : {"hang", "slow", "fail", "mend", "crash", "start", "drain", "remove", "silence",
                            "reset", "stall", "late", "cut"}) {
-    const auto kind = fault_kind_for(word);
+    const auto kind = fault_kind_from_name(word);
     ASSERT_TRUE(kind) << word;
-    EXPECT_STREQ(word_for(*kind), word);
+    EXPECT_STREQ(fault_kind_name(*kind), word);
   }
-  EXPECT_FALSE(fault_kind_for("explode"));
+  EXPECT_FALSE(fault_kind_from_name("explode"));
 }
 
 }  // namespace
--- a/tests/lab/lab_program_test.cpp
+++ b/tests/lab/lab_program_test.cpp
@@ -137,13 +137,14 @@
 TEST(LabProgram, NodesDoNotComeUp_ExitStatus1) {
   LabProgram lab({"run", experiment("brief"), "--node", "/bin/false"});
   EXPECT_EQ(lab.exit_status(), 1);
-  EXPECT_NE(lab.errors().find("a node ended as it started"), std::string::npos) << lab.errors();
+  EXPECT_NE(lab.errors().find("a node exited during startup"), std::string::npos) << lab.errors();
 }
 
 TEST(LabProgram, Running_Terminated_ExitStatus130PartialResultsAndNoNodeLeft) {
   LabProgram lab({"run", experiment("first")});
   for (const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-       lab.errors().find("\"calls\"") == std::string::npos && std::chrono::steady_clock::now() < until;) {
+       lab.errors().find("\"running load\"") == std::string::npos &&
+       std::chrono::steady_clock::now() < until;) {
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
   EXPECT_EQ(lab.nodes_left(), 2);
