--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// nettleyoke-lab: runs experiments on real nodes, with all that surrounds them on loopback.
+/// nettleyoke-lab: runs experiments on real nodes, with servers, discovery and clients on loopback.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -31,25 +31,26 @@
 namespace fs = std::filesystem;
 
 constexpr int kPassed = EXIT_SUCCESS;
-constexpr int kFailed = 1;  // a rule was violated, or the run could not be made
+constexpr int kFailed = 1;  // there were violations, or the run could not be carried out
 constexpr int kBadExperiment = 2;
-constexpr int kInterrupted = 130;  // as a shell has it after SIGINT
+constexpr int kInterrupted = 130;  // the status that shells report after SIGINT
 
 constexpr const char* kDefaultExperimentFolder = "lab/experiments";
-constexpr const char* kDefaultResultsFolder = "lab-results";  // beside this program
-constexpr const char* kNodeProgram = "nettleyoke";            // beside this program
+constexpr const char* kDefaultResultsFolder = "lab-results";  // in this program's folder
+constexpr const char* kNodeProgramName = "nettleyoke";        // in this program's folder
 
-/// What keeps a run from being made or its results from being written.
+/// A run cannot be carried out or its results cannot be written.
 struct LabError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// A temporary folder, removed with all that is in it.
+/// A temporary folder; the destructor removes it with its contents.
 class WorkFolder {
  public:
   WorkFolder() {
     std::string name = (fs::temp_directory_path() / "nettleyoke-lab-XXXXXX").string();
-    if (::mkdtemp(name.data()) == nullptr) throw LabError("no folder for the nodes' files");
+    if (::mkdtemp(name.data()) == nullptr)
+      throw LabError("cannot create a temporary folder for the nodes' files");
     path_ = name;
   }
   ~WorkFolder() {
@@ -65,7 +66,7 @@
 };
 
 struct RunArguments {
-  std::string experiment, json, program, results, logs;
+  std::string experiment, json, node_program, results, logs;
   std::optional<std::uint64_t> seed;
 };
 
@@ -76,7 +77,8 @@
   std::string list_folder = kDefaultExperimentFolder;
 };
 
-/// On a terminal one line that is written over, elsewhere a line of JSON for each step.
+/// Shows the current step: on a terminal in one line that each step overwrites, elsewhere as one line of
+/// JSON.
 void show_step(const std::string& step, double at) {
   if (::isatty(STDERR_FILENO) != 0) {
     std::fprintf(stderr, "\r\033[K%6.1f s  %s", at, step.c_str());
@@ -98,9 +100,9 @@
   if (!file) throw LabError("cannot write " + path.string());
 }
 
-fs::path own_folder() { return fs::read_symlink("/proc/self/exe").parent_path(); }
+fs::path program_folder() { return fs::read_symlink("/proc/self/exe").parent_path(); }
 
-/// Each hollow node takes four descriptors.
+/// Raises the soft limit of descriptors to the hard limit, because each hollow node takes four descriptors.
 void raise_descriptor_limit() {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -108,16 +110,16 @@
   ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-std::string node_program(const RunArguments& arguments) {
-  std::string program =
-      arguments.program.empty() ? (own_folder() / kNodeProgram).string() : arguments.program;
-  if (::access(program.c_str(), X_OK) != 0) throw LabError("no node at " + program);
-  return program;
+std::string find_node_program(const RunArguments& arguments) {
+  std::string path = arguments.node_program.empty() ? (program_folder() / kNodeProgramName).string()
+                                                    : arguments.node_program;
+  if (::access(path.c_str(), X_OK) != 0) throw LabError("no executable node program at " + path);
+  return path;
 }
 
 void write_results(const RunArguments& arguments, const WorkFolder& work_folder, const lab::Report& report) {
   const fs::path folder =
-      arguments.results.empty() ? own_folder() / kDefaultResultsFolder : fs::path(arguments.results);
+      arguments.results.empty() ? program_folder() / kDefaultResultsFolder : fs::path(arguments.results);
   const std::string json = lab::to_json(report);
   const std::string table = lab::to_table(report);
   const std::string name = report.experiment->name + "-" + std::to_string(report.seed);
@@ -128,7 +130,7 @@
     fs::copy(work_folder.path(), arguments.logs,
              fs::copy_options::recursive | fs::copy_options::overwrite_existing);
   }
-  std::cout << table << "results in " << (folder / name).string() << ".json, .txt\n";
+  std::cout << table << "results written to " << (folder / name).string() << ".json, .txt\n";
 }
 
 int run(const RunArguments& arguments) {
@@ -136,7 +138,7 @@
   if (arguments.seed) experiment.seed = *arguments.seed;
   raise_descriptor_limit();
   const WorkFolder folder;
-  const lab::RunOptions options{node_program(arguments), folder.path().string(), show_step};
+  const lab::RunOptions options{find_node_program(arguments), folder.path().string(), show_step};
   const lab::Report report = lab::run_experiment(experiment, options);
   clear_step();
   write_results(arguments, folder, report);
@@ -157,22 +159,24 @@
   return kPassed;
 }
 
-/// @throws CLI::ParseError when the arguments can't be understood, and for --help
+/// @throws CLI::ParseError for invalid arguments and for --help
 void parse(CLI::App& app, int count, char** values, Arguments& arguments) {
   RunArguments& run_arguments = arguments.run;
   app.require_subcommand(1);
-  CLI::App* run_command = app.add_subcommand("run", "Play an experiment; 0: all rules were kept");
-  run_command->add_option("experiment", run_arguments.experiment, "A .toml file")->required();
-  run_command->add_option("--seed", run_arguments.seed, "Instead of the experiment's own");
-  run_command->add_option("--json", run_arguments.json, "The results go here too");
-  run_command->add_option("--node", run_arguments.program,
-                          "The node's program; else the one built beside this");
+  CLI::App* run_command = app.add_subcommand("run", "Run an experiment; exit status 0: no violations");
+  run_command->add_option("experiment", run_arguments.experiment, "Experiment file (.toml)")->required();
+  run_command->add_option("--seed", run_arguments.seed,
+                          "Random seed; default: the seed in the experiment file");
+  run_command->add_option("--json", run_arguments.json, "Also write the JSON results to this file");
+  run_command->add_option("--node", run_arguments.node_program,
+                          "Node executable; default: nettleyoke in the folder of this program");
   run_command->add_option("--results", run_arguments.results,
-                          "The folder for results; else beside this program");
+                          "Folder for results; default: lab-results in the folder of this program");
   run_command->add_option("--logs", run_arguments.logs,
-                          "Keep the nodes' logs and configurations in this folder");
-  CLI::App* list_command = app.add_subcommand("list", "The experiments there are");
-  list_command->add_option("folder", arguments.list_folder, "Where they lie")->capture_default_str();
+                          "Copy the logs and configurations of the nodes to this folder");
+  CLI::App* list_command = app.add_subcommand("list", "List the experiments of a folder");
+  list_command->add_option("folder", arguments.list_folder, "Folder of experiment files")
+      ->capture_default_str();
   app.parse(count, values);
   arguments.command = run_command->parsed() ? Arguments::Command::kRun : Arguments::Command::kList;
 }
@@ -181,17 +185,18 @@
 
 int main(int count, char** values) {
   Arguments arguments;
-  CLI::App app{"Plays experiments on real nodes, with servers, discovery and callers on loopback."};
+  CLI::App app{
+      "Runs load-balancing experiments on real nodes, with servers, discovery and clients on loopback."};
   try {
     parse(app, count, values, arguments);
     return arguments.command == Arguments::Command::kRun ? run(arguments.run) : list(arguments.list_folder);
-  } catch (const CLI::ParseError& problem) {
-    return app.exit(problem);
-  } catch (const lab::ExperimentError& problem) {
-    std::fprintf(stderr, "nettleyoke-lab: %s\n", problem.what());
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error);
+  } catch (const lab::ExperimentError& error) {
+    std::fprintf(stderr, "nettleyoke-lab: %s\n", error.what());
     return kBadExperiment;
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "nettleyoke-lab: %s\n", problem.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "nettleyoke-lab: %s\n", error.what());
   }
   return kFailed;
 }
