--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -76,7 +76,7 @@
 
 TEST(AdminServer, AddressInTheEnvironmentTakesPrecedence) {
   FakeServer server(always_reply(200, "ok"));
-  NodeConfig config = config_knowing(server.address());
+  NodeConfig config = config_with_server(server.address());
   config.admin = "127.0.0.1:1";  // can't be listened on without rights; the process would not start
   const NodeProcess program(config.text(), {.environment = {{"RELAY_OPS", "127.0.0.1:0"}}});
   EXPECT_EQ(program.admin_command("ENABLE s0"), "YES\n");
--- a/tests/node/attempt_outcome_test.cpp
+++ b/tests/node/attempt_outcome_test.cpp
@@ -176,7 +176,7 @@
 TEST(AttemptOutcome, RefusedConnectIsRejected) {
   FakeDiscovery discovery;
   NodeProcess program(
-      config_knowing("127.0.0.1:" + std::to_string(unused_port()), discovery.address()).text());
+      config_with_server("127.0.0.1:" + std::to_string(unused_port()), discovery.address()).text());
   Connection client = Connection::to(program.port());
   EXPECT_EQ(status_of(exchange(client, {})), 503)
       << "rejected, not failed: a non-idempotent request that never ran";
--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// A client that closes its connection, by FIN or by RST, has disconnected: from then on nothing is forwarded
-/// for it, whatever its request waits for. Each state is brought about by the peers' own acts. Where two of
-/// them have to reach the node in one turn of its event loop it is suspended meanwhile.
+/// After a client has closed its connection, by FIN or by RST, the node forwards nothing more for it,
+/// whatever state its request is in. The client and the server of the test bring about each state. The node
+/// is suspended while they act if it must see several events in one iteration of its event loop.
 #include <gtest/gtest.h>
 #include <netinet/tcp.h>
 #include <poll.h>
@@ -17,9 +17,9 @@
 namespace nettleyoke::node {
 namespace {
 
-// A node, its client and its server.
-struct Scene {
-  explicit Scene(bool reset) : by_reset(reset) {}
+// A node with a server, and the client that disconnects.
+struct DisconnectSetup {
+  explicit DisconnectSetup(bool reset) : by_reset(reset) {}
   void disconnect() { by_reset ? client.reset() : client.close(); }
   void serve_one_request() {
     client.write(get_request("before").text());
@@ -28,21 +28,21 @@
     server.write(http_response(200, "ok"));
     EXPECT_EQ(body_of(client.read_message()), "ok");
   }
-  // Suspends the node once its connection to the server is out of quarantine.
+  // Waits for the quarantine of the connection to the server to end, with the node suspended.
   void suspend_after_quarantine() const {
     node.program->suspend();
     std::this_thread::sleep_for(10ms);
   }
-  // Disconnects the client once the server has `nearly` all bytes that were sent of its request; returns all
-  // that it got.
-  std::string read_all_with_disconnect_after(std::size_t nearly) {
+  // Disconnects the client once the server has received at least `minimum` bytes of the request. Returns all
+  // bytes that the server receives until the end of the connection.
+  std::string read_all_with_disconnect_after(std::size_t minimum) {
     std::string all;
-    while (all.size() < nearly) {
+    while (all.size() < minimum) {
       const std::string piece = server.read_some();
       if (piece.empty()) break;
       all += piece;
     }
-    EXPECT_GE(all.size(), nearly);
+    EXPECT_GE(all.size(), minimum);
     disconnect();
     all += server.read_to_end();
     server.close();
@@ -52,147 +52,149 @@
   bool by_reset;
   HeldServerDeployment node;
   Connection client = node.client();
-  Connection server{FileDescriptor()};  // the connection that may carry the next request
+  // The server's end of the connection on which the node may send the next request.
+  Connection server{FileDescriptor()};
 };
 
 struct DisconnectCase {
   const char* name;
-  void (*force)(Scene&);
+  void (*disconnect_in_state)(DisconnectSetup&);  // brings about the state and disconnects the client
 };
 // NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest looks for
 void PrintTo(const DisconnectCase& state, std::ostream* out) { *out << state.name; }
 
-// What a client wrote before it disconnected is read before its end, however long ago that was.
-void in_the_accept_queue(Scene& scene) {
-  scene.serve_one_request();
-  scene.suspend_after_quarantine();
-  scene.client = scene.node.client();
-  scene.client.write(RequestBuilder{.id = "gone"}.text());
-  scene.disconnect();
-  scene.node.program->resume();
+// The node accepts the connection after the disconnect, and reads the request before the end of the
+// connection.
+void in_the_accept_queue(DisconnectSetup& setup) {
+  setup.serve_one_request();
+  setup.suspend_after_quarantine();
+  setup.client = setup.node.client();
+  setup.client.write(RequestBuilder{.id = "gone"}.text());
+  setup.disconnect();
+  setup.node.program->resume();
 }
 
-void in_the_turn_of_its_request(Scene& scene) {
-  scene.serve_one_request();
-  scene.suspend_after_quarantine();
-  scene.client.write(RequestBuilder{.id = "gone"}.text());
-  scene.disconnect();
-  scene.node.program->resume();
+void in_the_same_iteration_as_its_request(DisconnectSetup& setup) {
+  setup.serve_one_request();
+  setup.suspend_after_quarantine();
+  setup.client.write(RequestBuilder{.id = "gone"}.text());
+  setup.disconnect();
+  setup.node.program->resume();
 }
 
-void in_the_turn_of_its_bodys_end(Scene& scene) {
-  scene.serve_one_request();
+void in_the_same_iteration_as_the_end_of_its_body(DisconnectSetup& setup) {
+  setup.serve_one_request();
   const std::string text = RequestBuilder{.id = "gone", .body = std::string(4 * kKibibyte, 'b')}.text();
-  scene.client.write(text.substr(0, text.size() / 2));
-  scene.suspend_after_quarantine();
-  scene.client.write(text.substr(text.size() / 2));
-  scene.disconnect();
-  scene.node.program->resume();
+  setup.client.write(text.substr(0, text.size() / 2));
+  setup.suspend_after_quarantine();
+  setup.client.write(text.substr(text.size() / 2));
+  setup.disconnect();
+  setup.node.program->resume();
 }
 
-void just_after_the_connect_completes(Scene& scene) {
-  scene.node.server.fill_queue();
-  scene.client.write(RequestBuilder{.id = "gone"}.text());
-  ASSERT_TRUE(scene.node.server.eventually_has_pending_connects(1));
-  scene.node.program->suspend();
-  scene.server = Connection(scene.node.server.accept());
-  scene.disconnect();
-  scene.node.program->resume();
+void just_after_the_connect_completes(DisconnectSetup& setup) {
+  setup.node.server.fill_queue();
+  setup.client.write(RequestBuilder{.id = "gone"}.text());
+  ASSERT_TRUE(setup.node.server.eventually_has_pending_connects(1));
+  setup.node.program->suspend();
+  setup.server = Connection(setup.node.server.accept());
+  setup.disconnect();
+  setup.node.program->resume();
 }
 
-void during_quarantine_of_the_connection(Scene& scene) {
-  scene.serve_one_request();
-  Connection first = scene.node.client();
+void during_quarantine_of_the_connection(DisconnectSetup& setup) {
+  setup.serve_one_request();
+  Connection first = setup.node.client();
   first.write(get_request("first").text());
-  ASSERT_EQ(read_request_id(scene.server), "first");
-  scene.node.program->suspend();
-  scene.server.write(http_response(200, "ok"));
-  scene.client.write(RequestBuilder{.id = "gone"}.text());
-  scene.disconnect();
-  scene.node.program->resume();
+  ASSERT_EQ(read_request_id(setup.server), "first");
+  setup.node.program->suspend();
+  setup.server.write(http_response(200, "ok"));
+  setup.client.write(RequestBuilder{.id = "gone"}.text());
+  setup.disconnect();
+  setup.node.program->resume();
   EXPECT_EQ(body_of(first.read_message()), "ok");
 }
 
-void while_the_connect_of_a_retry_is_pending(Scene& scene) {
-  scene.client.write(RequestBuilder{.id = "gone"}.text());
-  Connection first(scene.node.server.accept());
+void while_the_connect_of_a_retry_is_pending(DisconnectSetup& setup) {
+  setup.client.write(RequestBuilder{.id = "gone"}.text());
+  Connection first(setup.node.server.accept());
   ASSERT_EQ(read_request_id(first), "gone");
-  scene.node.server.fill_queue();
+  setup.node.server.fill_queue();
   first.write(http_response(503, "", "X-Not-Processed: 1\r\nConnection: close\r\n"));
-  ASSERT_TRUE(scene.node.server.eventually_has_pending_connects(1));
-  scene.disconnect();
-  EXPECT_TRUE(scene.node.has_nothing_in_flight());
-  scene.server = Connection(scene.node.server.accept());
+  ASSERT_TRUE(setup.node.server.eventually_has_pending_connects(1));
+  setup.disconnect();
+  EXPECT_TRUE(setup.node.eventually_has_nothing_in_flight());
+  setup.server = Connection(setup.node.server.accept());
 }
 
-// The server has read all that was sent of a streamed body, and waits for the rest.
-void with_the_rest_of_its_body_to_come(Scene& scene) {
+// The server has received the bytes sent so far of a streamed body and waits for the rest.
+void before_the_rest_of_its_body(DisconnectSetup& setup) {
   const std::string text = RequestBuilder{.id = "gone", .body = std::string(2 * kMebibyte, 'b')}.text();
   const std::size_t part = kMebibyte + 64 * kKibibyte;
-  scene.client.write(text.substr(0, part));
-  scene.server = Connection(scene.node.server.accept());
-  EXPECT_LT(scene.read_all_with_disconnect_after(part - 16 * kKibibyte).size(), text.size() - kKibibyte);
+  setup.client.write(text.substr(0, part));
+  setup.server = Connection(setup.node.server.accept());
+  EXPECT_LT(setup.read_all_with_disconnect_after(part - 16 * kKibibyte).size(), text.size() - kKibibyte);
 }
 
-void with_the_rest_of_its_chunks_to_come(Scene& scene) {
+void before_the_rest_of_its_chunks(DisconnectSetup& setup) {
   const std::string piece = http_chunk(std::string(64 * kKibibyte, 'b'));
   std::string text =
       RequestBuilder{.id = "gone", .body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text();
   for (std::size_t i = 0; i < 20; ++i) text += piece;
-  scene.client.write(text);
-  scene.server = Connection(scene.node.server.accept());
+  setup.client.write(text);
+  setup.server = Connection(setup.node.server.accept());
   EXPECT_FALSE(
-      scene.read_all_with_disconnect_after(std::size_t{19} * 64 * kKibibyte).ends_with("\r\n0\r\n\r\n"));
+      setup.read_all_with_disconnect_after(std::size_t{19} * 64 * kKibibyte).ends_with("\r\n0\r\n\r\n"));
 }
 
-// The last bytes of a streamed body must not be passed on for a client that has disconnected behind them.
-void in_the_turn_of_a_streamed_bodys_end(Scene& scene) {
+// The last bytes of a streamed body must not be forwarded if the client disconnects directly after them.
+void in_the_same_iteration_as_the_end_of_its_streamed_body(DisconnectSetup& setup) {
   const std::string text =
       RequestBuilder{.id = "gone", .body = std::string(kMebibyte + 64 * kKibibyte, 'b')}.text();
   const std::size_t last = 2 * kKibibyte;
-  scene.client.write(text.substr(0, text.size() - last));
-  scene.server = Connection(scene.node.server.accept());
+  setup.client.write(text.substr(0, text.size() - last));
+  setup.server = Connection(setup.node.server.accept());
   std::size_t received = 0;
-  while (received < text.size() - last - kKibibyte) received += scene.server.read_some().size();
-  scene.node.program->suspend();
-  scene.client.write(text.substr(text.size() - last));
-  scene.disconnect();
-  scene.node.program->resume();
-  while (scene.server.receive_more()) received += scene.server.read_some().size();
-  EXPECT_LT(received, text.size() - last + kKibibyte) << "the last byte is withheld";
-  scene.server.close();
+  while (received < text.size() - last - kKibibyte) received += setup.server.read_some().size();
+  setup.node.program->suspend();
+  setup.client.write(text.substr(text.size() - last));
+  setup.disconnect();
+  setup.node.program->resume();
+  while (setup.server.receive_more()) received += setup.server.read_some().size();
+  EXPECT_LT(received, text.size() - last + kKibibyte) << "the node forwarded the last bytes of the body";
+  setup.server.close();
 }
 
-// No request may begin for a client whose end came while the response before was being written: the client
-// takes it in a little at a time, so that this can't be done at once.
-void while_the_response_before_is_written(Scene& scene) {
+// The next request of a client that disconnects while the previous response is being written must not start.
+// The client has a small receive buffer, so that the node can't write the response at once.
+void while_the_previous_response_is_written(DisconnectSetup& setup) {
   FileDescriptor socket = new_tcp_socket();
   const int receive_buffer = 4096;
   const int segment = 536;
   ::setsockopt(socket.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
   ::setsockopt(socket.get(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
-  ASSERT_TRUE(connect_to_loopback(socket, scene.node.program->port()));
-  scene.client = Connection(std::move(socket));
-  scene.client.write(get_request("before").text() + get_request("gone").text());
-  scene.server = Connection(scene.node.server.accept());
-  ASSERT_EQ(read_request_id(scene.server), "before");
+  ASSERT_TRUE(connect_to_loopback(socket, setup.node.program->port()));
+  setup.client = Connection(std::move(socket));
+  setup.client.write(get_request("before").text() + get_request("gone").text());
+  setup.server = Connection(setup.node.server.accept());
+  ASSERT_EQ(read_request_id(setup.server), "before");
   const std::string body(60 * kKibibyte, 'b');
-  scene.server.write(http_response(200, body));
-  pollfd response_begun{scene.client.fd(), POLLIN, 0};
+  setup.server.write(http_response(200, body));
+  pollfd response_begun{setup.client.fd(), POLLIN, 0};
   ASSERT_EQ(::poll(&response_begun, 1, kWaitLimitMilliseconds), 1);
-  if (scene.by_reset) return scene.disconnect();
-  ::shutdown(scene.client.fd(), SHUT_WR);
-  EXPECT_EQ(body_of(scene.client.read_message()), body);
-  EXPECT_EQ(scene.client.read_to_end(), "") << "and no further request begins";
+  if (setup.by_reset) return setup.disconnect();
+  ::shutdown(setup.client.fd(), SHUT_WR);
+  EXPECT_EQ(body_of(setup.client.read_message()), body);
+  EXPECT_EQ(setup.client.read_to_end(), "") << "the node started another request";
 }
 
-void in_the_pause_after_an_error(Scene& scene) {
-  scene.serve_one_request();
-  scene.suspend_after_quarantine();
-  scene.client.write(RequestBuilder{.request_class = "unknown", .body = ""}.text() +
+void in_the_pause_after_an_error(DisconnectSetup& setup) {
+  setup.serve_one_request();
+  setup.suspend_after_quarantine();
+  setup.client.write(RequestBuilder{.request_class = "unknown", .body = ""}.text() +
                      get_request("gone").text());
-  scene.disconnect();
-  scene.node.program->resume();
+  setup.disconnect();
+  setup.node.program->resume();
 }
 
 class DisconnectState : public testing::TestWithParam<std::tuple<DisconnectCase, bool>> {};
@@ -202,15 +204,17 @@
     testing::Combine(
         testing::Values(
             DisconnectCase{"InTheAcceptQueue", in_the_accept_queue},
-            DisconnectCase{"InTheTurnOfItsRequest", in_the_turn_of_its_request},
-            DisconnectCase{"InTheTurnOfItsBodysEnd", in_the_turn_of_its_bodys_end},
+            DisconnectCase{"InTheSameIterationAsItsRequest", in_the_same_iteration_as_its_request},
+            DisconnectCase{"InTheSameIterationAsTheEndOfItsBody",
+                           in_the_same_iteration_as_the_end_of_its_body},
             DisconnectCase{"JustAfterTheConnectCompletes", just_after_the_connect_completes},
             DisconnectCase{"DuringQuarantineOfTheConnection", during_quarantine_of_the_connection},
             DisconnectCase{"WhileTheConnectOfARetryIsPending", while_the_connect_of_a_retry_is_pending},
-            DisconnectCase{"WithTheRestOfItsBodyToCome", with_the_rest_of_its_body_to_come},
-            DisconnectCase{"WithTheRestOfItsChunksToCome", with_the_rest_of_its_chunks_to_come},
-            DisconnectCase{"InTheTurnOfAStreamedBodysEnd", in_the_turn_of_a_streamed_bodys_end},
-            DisconnectCase{"WhileTheResponseBeforeIsWritten", while_the_response_before_is_written},
+            DisconnectCase{"BeforeTheRestOfItsBody", before_the_rest_of_its_body},
+            DisconnectCase{"BeforeTheRestOfItsChunks", before_the_rest_of_its_chunks},
+            DisconnectCase{"InTheSameIterationAsTheEndOfItsStreamedBody",
+                           in_the_same_iteration_as_the_end_of_its_streamed_body},
+            DisconnectCase{"WhileThePreviousResponseIsWritten", while_the_previous_response_is_written},
             DisconnectCase{"InThePauseAfterAnError", in_the_pause_after_an_error}),
         testing::Bool()),
     [](const auto& with) {
@@ -218,25 +222,26 @@
     });
 
 TEST_P(DisconnectState, NothingMoreIsForwarded) {
-  Scene scene(std::get<1>(GetParam()));
-  std::get<0>(GetParam()).force(scene);
+  DisconnectSetup setup(std::get<1>(GetParam()));
+  std::get<0>(GetParam()).disconnect_in_state(setup);
   if (HasFatalFailure()) return;
-  Connection connected = scene.node.client();
+  Connection connected = setup.node.client();
   connected.write(get_request("connected").text());
-  if (!scene.server.is_open()) scene.server = Connection(scene.node.server.accept());
-  EXPECT_EQ(read_request_id(scene.server), "connected");
-  scene.server.write(http_response(200, "ok"));
+  if (!setup.server.is_open()) setup.server = Connection(setup.node.server.accept());
+  EXPECT_EQ(read_request_id(setup.server), "connected");
+  setup.server.write(http_response(200, "ok"));
   EXPECT_EQ(body_of(connected.read_message()), "ok");
-  EXPECT_TRUE(scene.node.has_nothing_in_flight());
-  while (scene.node.server.has_waiting()) {  // connects that were pending
-    const Connection spare(scene.node.server.accept());
+  EXPECT_TRUE(setup.node.eventually_has_nothing_in_flight());
+  while (setup.node.server.has_waiting_connection()) {  // connections whose connect was pending
+    const Connection spare(setup.node.server.accept());
     char byte = 0;
-    EXPECT_LE(::recv(spare.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT), 0) << "forwarded there";
+    EXPECT_LE(::recv(spare.fd(), &byte, 1, MSG_PEEK | MSG_DONTWAIT), 0)
+        << "the node forwarded bytes on a connection that was pending";
   }
 }
 
-// A thousand connections, some of them with a request in flight and more behind it than is read ahead, all
-// disconnected in one instant in which the responses come too.
+// Disconnects a thousand clients in one iteration of the node's event loop, in which responses arrive too.
+// Some have a request in flight, and have pipelined more behind it than the node reads ahead.
 class MassDisconnect : public testing::TestWithParam<bool> {};
 
 INSTANTIATE_TEST_SUITE_P(By, MassDisconnect, testing::Bool(),
@@ -250,8 +255,9 @@
   const std::size_t idle = limit.rlim_max >= 1200 ? 1000 : 300;
   constexpr std::size_t busy = 6;
   Gate gate;
-  // The node has capacity for two requests in flight at a server that has not answered yet. The allowance for
-  // more fades within seconds, and the idle clients may take longer than that to connect.
+  // Three servers for six requests: the node has capacity for two requests in flight at a server that has not
+  // answered yet. It allows more at first, but that allowance fades within seconds, and the idle clients may
+  // take longer than that to connect.
   std::array<FakeServer, busy / 2> servers{FakeServer(reply_after(gate)), FakeServer(reply_after(gate)),
                                            FakeServer(reply_after(gate))};
   const auto forwarded = [&servers] {
--- a/tests/node/connection_admission_test.cpp
+++ b/tests/node/connection_admission_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Which clients a node lets in when it runs out of descriptors or connections, and whom it evicts for them.
+/// Admission of clients when a node runs out of file descriptors or connections: which clients it accepts,
+/// and which connections it evicts for them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,48 +27,48 @@
   return numbers;
 }
 
-// Leaves a program no descriptor more than it has, whatever it and a sanitizer in it have open: the limit is
-// one on the numbers that are given out.
-class NoMoreDescriptors {
+// Lets the node open no further descriptor, however many it and its sanitizer have open. RLIMIT_NOFILE limits
+// the descriptor numbers, so the limit is set to the lowest free number. The destructor restores the limit.
+class DescriptorExhaustion {
  public:
-  explicit NoMoreDescriptors(const NodeProcess& program) : pid_(program.pid()) {
+  explicit DescriptorExhaustion(const NodeProcess& program) : pid_(program.pid()) {
     const std::set<rlim_t> open = descriptors_of(program);
-    rlim_t first_free = 0;
-    while (open.contains(first_free)) ++first_free;
-    ::prlimit(pid_, RLIMIT_NOFILE, nullptr, &before_);
-    const rlimit now{first_free, before_.rlim_max};
-    EXPECT_EQ(::prlimit(pid_, RLIMIT_NOFILE, &now, nullptr), 0);
+    rlim_t lowest_free = 0;
+    while (open.contains(lowest_free)) ++lowest_free;
+    ::prlimit(pid_, RLIMIT_NOFILE, nullptr, &original_limit_);
+    const rlimit limit{lowest_free, original_limit_.rlim_max};
+    EXPECT_EQ(::prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr), 0);
   }
-  ~NoMoreDescriptors() { ::prlimit(pid_, RLIMIT_NOFILE, &before_, nullptr); }
-  NoMoreDescriptors(const NoMoreDescriptors&) = delete;
-  NoMoreDescriptors& operator=(const NoMoreDescriptors&) = delete;
+  ~DescriptorExhaustion() { ::prlimit(pid_, RLIMIT_NOFILE, &original_limit_, nullptr); }
+  DescriptorExhaustion(const DescriptorExhaustion&) = delete;
+  DescriptorExhaustion& operator=(const DescriptorExhaustion&) = delete;
 
  private:
   pid_t pid_;
-  rlimit before_{};
+  rlimit original_limit_{};
 };
 
-// Where there is no descriptor for a new connection the listener must not spin, nor may clients wait in its
-// queue in vain.
-TEST(ConnectionAdmission, WithoutFreeDescriptorNewClientIsRejectedOrReplacesIdleOne) {
+// Without a descriptor for a new connection, the listener must not busy-loop, and clients must not wait in
+// its queue for nothing.
+TEST(ConnectionAdmission, WithoutFreeDescriptorNewClientIsRejectedOrReplacesAnIdleOne) {
   Gate gate;
   FakeServer server([&](Connection& connection, const std::string& request) {
     if (field_of(request, "X-Request-ID") == "busy") gate.wait();
     return connection.write(http_response(200, "ok"));
   });
   Listener discovery(
-      [](Connection& connection) {  // a watch that stays, so that no descriptor comes free with it
+      [](Connection& connection) {  // a watch that stays open, so that its descriptor is not freed
         if (connection.read_message().empty()) return;
         connection.write(kChunkedResponseHead);
         while (connection.write(http_chunk("\n"))) std::this_thread::sleep_for(100ms);
       });
-  NodeProcess program(config_knowing(server.address(), discovery.address()).text());
+  NodeProcess program(config_with_server(server.address(), discovery.address()).text());
   Connection busy = Connection::to(program.port());
   ASSERT_EQ(status_of(exchange(busy, get_request("first"))), 200);
   ASSERT_TRUE(eventually([&] { return discovery.open_connections() == 1; }));
   busy.write(get_request("busy").text());
   ASSERT_TRUE(server.eventually_received(2));
-  const NoMoreDescriptors none(program);
+  const DescriptorExhaustion exhaustion(program);
   for (const char* id : {"rejected1", "rejected2"}) {
     Connection client = Connection::to(program.port());
     const std::string answer = exchange(client, get_request(id));
@@ -79,18 +80,18 @@
   ASSERT_EQ(status_of(busy.read_message()), 200);
   Connection client = Connection::to(program.port());
   EXPECT_EQ(status_of(exchange(client, get_request("served"))), 200);
-  EXPECT_EQ(busy.read_to_end(), "") << "it was evicted";
+  EXPECT_EQ(busy.read_to_end(), "") << "the idle connection was not evicted";
 }
 
-// In both modes of the registry.
+// Runs in both modes of the server registry.
 class IdleConnections : public testing::TestWithParam<const char*> {};
 
 INSTANTIATE_TEST_SUITE_P(Mode, IdleConnections, testing::Values("subscribe", "automatic"),
                          [](const auto& with) { return std::string(with.param); });
 
-// Idle clients may hold the descriptors while discovery is down: active clients are served all the same,
-// operators get through, what is in flight is not lost, and the next watch and the connections to a new
-// server find theirs.
+// Idle clients that use up the descriptors while discovery is down must not keep the node from serving active
+// clients and admin commands, from finishing requests in flight, from opening the next watch, or from
+// connecting to a new server.
 TEST_P(IdleConnections, WhileDiscoveryIsDownDoNotKeepOutActiveClients) {
   Gate gate;
   FakeServer one([&](Connection& connection, const std::string& request) {
@@ -99,14 +100,14 @@
   });
   FakeServer two(always_reply(200, "two"));
   const int port = unused_port();
-  constexpr rlim_t kMostDescriptors = 128;
+  constexpr rlim_t kDescriptorLimit = 128;
   NodeConfig config;
   config.discovery = "127.0.0.1:" + std::to_string(port);  // refused
-  config.known_list = endpoint_list(7, true, endpoint("s0", one.address()));
+  config.initial_endpoint_list = endpoint_list(7, true, endpoint("s0", one.address()));
   config.registry_mode = GetParam();
-  config.sockets = kMostDescriptors;
+  config.sockets = kDescriptorLimit;
   config.admin = "127.0.0.1:0";
-  NodeProcess program(config.text(), {.descriptor_limit = kMostDescriptors});
+  NodeProcess program(config.text(), {.descriptor_limit = kDescriptorLimit});
   Connection busy = Connection::to(program.port());
   busy.write(get_request("busy").text());
   ASSERT_TRUE(one.eventually_received(1));
@@ -114,7 +115,7 @@
   const auto connect_idle_clients = [&](int count) {
     for (int i = 0; i < count; ++i) {
       idle.push_back(Connection::to(program.port()));
-      if (i % 2 == 0) idle.back().write(kHealthRequest);  // and nothing more
+      if (i % 2 == 0) idle.back().write(kHealthRequest);  // the others send nothing
     }
     while (idle.size() > 400) idle.pop_front();
   };
@@ -131,7 +132,7 @@
     EXPECT_EQ(body_of_next(), "one");
     connect_idle_clients(10);
     EXPECT_NE(program.admin_command("STATS").find(R"("hosts_listed":1,)"), std::string::npos);
-    EXPECT_LE(descriptors_of(program).size(), kMostDescriptors);
+    EXPECT_LE(descriptors_of(program).size(), kDescriptorLimit);
   }
   FakeDiscovery discovery(port);
   ASSERT_TRUE(discovery.send_list(endpoint_list(
@@ -144,10 +145,10 @@
   EXPECT_EQ(body_of(busy.read_message()), "one");
 }
 
-// A connection must not be evicted while its next request is there, unread.
+// A connection must not be evicted while it has an unread request.
 TEST(ConnectionAdmission, UnreadRequestOnAConnectionToBeEvictedIsAnswered) {
   OneServerDeployment deployment(always_reply(200, "ok"),
-                                 {.sockets = 64});  // 20 client connections, and 5 to be rejected
+                                 {.sockets = 64});  // 20 client connections, and 5 for rejections
   std::vector<Connection> clients;
   for (int i = 0; i < 20; ++i) {
     clients.push_back(deployment.client());
@@ -171,7 +172,7 @@
     slow.push_back(deployment.client());
     slow.back().write("GET /look/k1 HTTP/1.1\r\n");
   }
-  // All of them have been read from once a later one, for which one of them is evicted, is served.
+  // A later client is served only after one of the slow ones is evicted; by then the node has read from all.
   int count = 0;
   ASSERT_TRUE(eventually([&] {
     Connection late = deployment.client();
--- a/tests/node/connection_shutdown_race_test.cpp
+++ b/tests/node/connection_shutdown_race_test.cpp
@@ -72,7 +72,7 @@
 // Requests that were read must not be dropped with the connection, in the pause after an error: one that has
 // more of them goes on until a response says that the connection closes.
 TEST(GracefulShutdown, RequestPipelinedBehindAnErrorIsAnswered) {
-  OneServerDeployment deployment(always_reply(200, "ok"), {.classes = short_classes()});
+  OneServerDeployment deployment(always_reply(200, "ok"), {.classes = classes_with_short_timeout()});
   std::string requests;
   for (int i = 0; i < 20; ++i)
     requests += RequestBuilder{.request_class = "unknown", .body = ""}.text() +
@@ -121,7 +121,7 @@
 TEST(GracefulShutdown, StreamedResponseIsCompleted) {
   StreamedResponse response("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kMebibyte) + "\r\n\r\n");
   NodeConfig config = response.deployment->config;
-  config.classes = short_classes();
+  config.classes = classes_with_short_timeout();
   response.deployment->reload(config);
   Connection idle = response.deployment->client();
   ASSERT_EQ(health_status(idle), 200);
--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -131,7 +131,7 @@
       if (connection.read_message().empty()) return;
       connection.write(kChunkedResponseHead + http_chunk("\n") + "0\r\n\r\n");
     });
-    NodeConfig config = config_knowing(server.address(), discovery.address());
+    NodeConfig config = config_with_server(server.address(), discovery.address());
     config.registry_mode = mode;
     const auto start = std::chrono::steady_clock::now();
     NodeProcess program(config.text());
@@ -153,7 +153,7 @@
       connection.write(watch_response(endpoint_list(9, true, endpoint("s1", notified.address()))));
     connection.read_to_end();
   });
-  NodeConfig config = config_knowing(server.address(), discovery.address());
+  NodeConfig config = config_with_server(server.address(), discovery.address());
   config.registry_mode = "automatic";
   const auto start = std::chrono::steady_clock::now();
   NodeProcess program(config.text());
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -103,7 +103,7 @@
   Connection client = deployment.client();
   ASSERT_EQ(status_of(exchange(client, {})), 200);
   NodeConfig config = deployment.config;
-  config.classes = short_classes();
+  config.classes = classes_with_short_timeout();
   deployment.reload(config);
   const auto start = std::chrono::steady_clock::now();
   deployment.program->signal(SIGTERM);
@@ -122,7 +122,7 @@
   client.write(get_request("open").text());
   ASSERT_TRUE(deployment.server.eventually_received(1));
   NodeConfig config = deployment.config;
-  config.classes = short_classes();
+  config.classes = classes_with_short_timeout();
   deployment.reload(config);
   deployment.program->signal(SIGTERM);
   EXPECT_EQ(idle.read_to_end(), "") << "idle connections are closed first";
@@ -168,7 +168,7 @@
 // A connection that came up just before the listener closed, and whose first request is on its way.
 TEST(GracefulShutdown, NewConnectionIsKeptForItsFirstRequest) {
   // The listener and the idle connections are closed in one turn of the event loop.
-  OneServerDeployment deployment(always_reply(200, "ok"), {.classes = short_classes()});
+  OneServerDeployment deployment(always_reply(200, "ok"), {.classes = classes_with_short_timeout()});
   deployment.program->signal(SIGTERM);
   std::vector<Connection> clients;
   for (Connection next = deployment.client(); next.is_open(); next = deployment.client()) {
--- a/tests/node/harness/connection.h
+++ b/tests/node/harness/connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One TCP connection of a test, as its client or its server: blocking, with whole HTTP messages read by
+/// A blocking TCP connection that a test uses as a client or as a server. It reads complete HTTP messages by
 /// their Content-Length.
 #pragma once
 
@@ -17,12 +17,12 @@
 
 namespace nettleyoke::node {
 
-/// Owns the socket and the bytes that were read from it and not asked for yet.
+/// Owns a socket and buffers the bytes that were received but not yet returned by a read function.
 class Connection {
  public:
   explicit Connection(FileDescriptor socket) : socket_(std::move(socket)) {}
 
-  /// Connects to a port of the loopback interface; is_open() tells whether that worked.
+  /// Connects to a port of the loopback interface; is_open() is false if the connect failed.
   static Connection to(int port) {
     FileDescriptor socket = new_tcp_socket();
     if (!connect_to_loopback(socket, port)) socket.reset();
@@ -32,24 +32,26 @@
   int fd() const { return socket_.get(); }
   void close() { socket_.reset(); }
 
-  /// Closes so that the peer gets an RST, not a FIN.
+  /// Closes the connection with an RST instead of a FIN.
   void reset() {
     close_with_reset();
     socket_.reset();
   }
-  /// Has a later close() end the connection with an RST.
+  /// Makes a later close() send an RST instead of a FIN.
   void close_with_reset() const {
     const linger no_linger{1, 0};
     ::setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &no_linger, sizeof no_linger);
   }
 
-  /// Bytes that were written and that the peer's machine has not acknowledged; -1 where that is not known.
+  /// @return the number of bytes written that the peer's TCP stack has not acknowledged; -1 if the system
+  /// can't report it
   int unacknowledged_bytes() const {
     int bytes = 0;
     return ::ioctl(socket_.get(), SIOCOUTQ, &bytes) == 0 ? bytes : -1;
   }
 
-  /// Writes all of `text`; false where the connection has ended.
+  /// Writes all of `text`.
+  /// @return false if the connection ended first
   bool write(const std::string& text) {
     std::size_t written = 0;
     while (written < text.size()) {
@@ -59,7 +61,8 @@
     }
     return true;
   }
-  /// Writes as much as the peer takes in: it may stop reading for good.
+  /// Writes `text` until all of it is sent or the socket accepts no more bytes for 500 ms, because the peer
+  /// has stopped reading.
   void write_until_blocked(const std::string& text) {
     for (std::size_t written = 0; written < text.size();) {
       const ssize_t sent =
@@ -70,7 +73,8 @@
     }
   }
 
-  /// One complete message with a Content-Length (none: no body); empty at the end of the connection.
+  /// Reads one complete message; without a Content-Length it has no body.
+  /// @return empty if the connection ends first or nothing arrives within kWaitLimit
   std::string read_message() {
     for (;;) {
       const std::size_t head_end = received_.find("\r\n\r\n");
@@ -85,19 +89,20 @@
       if (!receive_more()) return {};
     }
   }
-  /// All bytes up to the end of the connection.
+  /// Reads all bytes until the connection ends or nothing arrives within kWaitLimit.
   std::string read_to_end() {
     while (receive_more()) {
     }
     return std::exchange(received_, {});
   }
-  /// The bytes that come next; empty at the end of the connection.
+  /// @return the buffered bytes, or if there are none the next ones to arrive; empty if the connection ends
+  /// or nothing arrives within kWaitLimit
   std::string read_some() {
     if (received_.empty()) receive_more();
     return std::exchange(received_, {});
   }
-  /// Waits for bytes and keeps them for the next read; false at the end of the connection or after
-  /// kWaitLimit.
+  /// Waits for bytes and buffers them for the next read.
+  /// @return false if the connection ends or nothing arrives within kWaitLimit
   bool receive_more() {
     pollfd readable{socket_.get(), POLLIN, 0};
     if (::poll(&readable, 1, kWaitLimitMilliseconds) <= 0) return false;
--- a/tests/node/harness/deployment.cpp
+++ b/tests/node/harness/deployment.cpp
@@ -22,12 +22,12 @@
 namespace {
 
 template <typename Accepted>
-bool eventually_gets(int port, RequestBuilder request, Accepted accepted) {
+bool eventually_gets(int port, RequestBuilder request, Accepted is_accepted) {
   static std::atomic<int> count = 0;
   return eventually([&] {
     Connection client = Connection::to(port);
     request.id = "eventually" + std::to_string(++count);
-    return accepted(exchange(client, request));
+    return is_accepted(exchange(client, request));
   });
 }
 
@@ -49,7 +49,7 @@
   for (std::size_t i = 0; i < servers.size(); ++i) {
     endpoints += (i > 0 ? "," : "") + endpoint("s" + std::to_string(i), servers[i]->address());
   }
-  config.known_list = endpoint_list(7, true, endpoints);
+  config.initial_endpoint_list = endpoint_list(7, true, endpoints);
   config.discovery = discovery.address();
   program = std::make_unique<NodeProcess>(config.text(), options);
 }
--- a/tests/node/harness/deployment.h
+++ b/tests/node/harness/deployment.h
@@ -1,5 +1,5 @@
 /// @file
-/// A node together with the servers and the discovery that it talks to.
+/// A node together with its servers and its discovery agent.
 #pragma once
 
 #include <memory>
@@ -16,49 +16,52 @@
 
 namespace nettleyoke::node {
 
-/// Sends a request and reads its answer; empty where the connection ends instead.
+/// Sends a request and reads the response.
+/// @return empty if the connection ends instead
 std::string exchange(Connection& client, const RequestBuilder& request);
 
-/// The status of a health check on an open connection.
+/// Sends a health check on an open connection.
+/// @return the status of the response; 0 if the connection ends instead
 int health_status(Connection& client);
 
-/// As a server: reads a request.
-/// @return its id; empty at the end of the connection
+/// Reads a request on a connection of a server.
+/// @return the request id; empty if the connection ends instead
 std::string read_request_id(Connection& server);
 
-/// Sends requests, each on a connection of its own and with an id of its own, until one is answered with that
-/// body.
-/// @return whether one was within kWaitLimit
+/// Sends requests until one is answered with `body`. Each has a new connection and a new id.
+/// @return whether one was answered so within kWaitLimit
 bool eventually_answers(int port, const std::string& body, const RequestBuilder& request = {});
 
-/// A node with servers s0, s1 ... in its known list, and a discovery that has nothing to add.
+/// A node whose initial endpoint list contains the servers s0, s1 ..., and a discovery agent that sends no
+/// further endpoints.
 class Deployment {
  public:
   explicit Deployment(const std::vector<FakeServer*>& servers, NodeConfig node_config = {},
                       const StartOptions& options = {});
 
   Connection client() const { return Connection::to(program->port()); }
-  /// The answer to a request on a connection of its own.
+  /// Sends a request on a new connection.
+  /// @return the response
   std::string answer_to(const RequestBuilder& request) const;
   int status_for(const RequestBuilder& request) const { return status_of(answer_to(request)); }
   bool eventually_answers(const std::string& body) const {
     return node::eventually_answers(program->port(), body);
   }
   bool eventually_answers_with_status(int status) const;
-  /// Replaces the configuration and waits until the node says what came of it.
+  /// Replaces the configuration and waits until the node has logged the result of the reload.
   void reload(const NodeConfig& changed) const;
 
   FakeDiscovery discovery;
-  NodeConfig config;  ///< that the node was started with
+  NodeConfig config;  ///< the configuration the node was started with
   std::unique_ptr<NodeProcess> program;
 };
 
-/// What a OneServerDeployment has to have before its node starts and until that has ended.
+/// A base class of OneServerDeployment: it constructs the server before the node and destroys it after.
 struct ServerOfDeployment {
   FakeServer server;
 };
 
-/// A node in front of one server, by default one that answers every request with 200 and "ok".
+/// A node in front of one server. By default the server answers every request with 200 and "ok".
 class OneServerDeployment : public ServerOfDeployment, public Deployment {
  public:
   explicit OneServerDeployment(FakeServer::Reply reply = always_reply(200, "ok"), NodeConfig node_config = {},
--- a/tests/node/harness/eventually.h
+++ b/tests/node/harness/eventually.h
@@ -1,6 +1,6 @@
 /// @file
-/// Waiting for a condition. The tests never wait for a stated time to pass where they can wait for what is to
-/// happen, with a generous limit.
+/// Waiting for a condition. Where possible, tests wait for an event with a generous limit instead of sleeping
+/// for a fixed time.
 #pragma once
 
 #include <chrono>
@@ -10,19 +10,20 @@
 
 using namespace std::chrono_literals;
 
-/// How long a test waits for what is to happen. A machine may be slow; a test that fails may take its time.
+/// How long a test waits for an event. It is long because the machine may be slow, and only a test that fails
+/// waits that long.
 constexpr auto kWaitLimit = 20s;
 
-/// The same for poll(2).
+/// kWaitLimit in milliseconds, for poll(2).
 constexpr int kWaitLimitMilliseconds = static_cast<int>(std::chrono::milliseconds(kWaitLimit).count());
 
-/// Polls until `condition` holds.
-/// @return whether it came to hold within kWaitLimit
+/// Polls until `condition` is true.
+/// @return whether it became true within kWaitLimit
 template <typename Condition>
 bool eventually(Condition condition) {
-  const auto until = std::chrono::steady_clock::now() + kWaitLimit;
+  const auto deadline = std::chrono::steady_clock::now() + kWaitLimit;
   while (!condition()) {
-    if (std::chrono::steady_clock::now() > until) return false;
+    if (std::chrono::steady_clock::now() > deadline) return false;
     std::this_thread::sleep_for(2ms);
   }
   return true;
--- a/tests/node/harness/fake_discovery.h
+++ b/tests/node/harness/fake_discovery.h
@@ -1,5 +1,5 @@
 /// @file
-/// The discovery agent that a node watches, and the endpoint lists that it sends.
+/// A fake of the discovery agent that a node watches, and the endpoint lists it sends.
 #pragma once
 
 #include <sys/socket.h>
@@ -14,29 +14,29 @@
 
 namespace nettleyoke::node {
 
-/// One endpoint of a list, as JSON.
+/// Returns one endpoint of a list as JSON.
 inline std::string endpoint(const std::string& name, const std::string& address,
                             const std::string& status = "up") {
   return R"({"name":")" + name + R"(","address":")" + address + R"(","zone":"a","group":0,"status":")" +
          status + R"(","weight":1.0,"since_ms":0})";
 }
 
-/// An endpoint list, as JSON on one line.
+/// Returns an endpoint list as one line of JSON.
 /// @param version    the list's `index`
-/// @param complete   whether it replaces what is known, or adds changes to it
-/// @param endpoints  joined by commas
+/// @param complete   true: it replaces the node's list; false: it contains only the changed endpoints
+/// @param endpoints  the endpoints, joined by commas
 inline std::string endpoint_list(int version, bool complete, const std::string& endpoints) {
   return R"({"index":)" + std::to_string(version) + R"(,"snapshot":)" + (complete ? "true" : "false") +
          R"(,"endpoints":[)" + endpoints + "]}";
 }
 
-/// The answer to a watch that begins with a list.
+/// Returns the beginning of a response to a watch: the header and `list`.
 inline std::string watch_response(const std::string& list) {
   return kChunkedResponseHead + http_chunk(list + "\n");
 }
 
-/// Answers each watch with a head and an empty line, or with what respond_with() was given, and keeps it
-/// open; watch events are sent on the latest one, always behind its head.
+/// Answers each watch with a header and an empty line, or with the bytes passed to respond_with(), and keeps
+/// it open. Watch events are sent on the latest watch, always after its header.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(int port = 0)
@@ -44,12 +44,12 @@
   std::string address() const { return listener_.address(); }
   Listener& listener() { return listener_; }
 
-  /// What the watches from now on are answered, head and all.
+  /// Sets the bytes, header included, with which later watches are answered.
   void respond_with(const std::string& bytes) {
     const std::lock_guard lock(mutex_);
     response_ = bytes;
   }
-  /// Sends bytes on the open watch, once there is one.
+  /// Waits for an open watch and sends bytes on it.
   /// @return whether they were sent within kWaitLimit
   bool send_raw(const std::string& bytes) {
     return eventually([&] {
@@ -57,21 +57,22 @@
       return current_ != nullptr && current_->write(bytes);
     });
   }
-  /// Sends a list on the open watch, once there is one.
+  /// Waits for an open watch and sends a list on it.
+  /// @return whether it was sent within kWaitLimit
   bool send_list(const std::string& list) { return send_raw(http_chunk(list + "\n")); }
   void end_watch() {
     const std::lock_guard lock(mutex_);
     if (current_ != nullptr) ::shutdown(current_->fd(), SHUT_RDWR);
   }
-  /// The heads of all calls so far.
+  /// @return all calls received so far
   std::vector<std::string> calls() {
     const std::lock_guard lock(mutex_);
     return calls_;
   }
 
  private:
-  // The head is written before another thread can send on the watch: the node ends a watch whose response
-  // begins with anything else, and an event that was sent by then is lost.
+  // Writes the header before another thread can send on the watch: the node ends a watch whose response
+  // begins with anything else, and an event sent on it is lost.
   void serve(Connection& connection) {
     const std::string call = connection.read_message();
     if (call.empty()) return;
--- a/tests/node/harness/fake_server.h
+++ b/tests/node/harness/fake_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// A server behind the node, whose answers the test decides on.
+/// A fake server whose responses the test defines.
 #pragma once
 
 #include <atomic>
@@ -14,7 +14,7 @@
 
 namespace nettleyoke::node {
 
-/// Blocks the answers of a server until open() is called.
+/// Blocks the responses of a server until open() is called.
 class Gate {
  public:
   void open() {
@@ -22,6 +22,7 @@
     open_ = true;
     changed_.notify_all();
   }
+  /// Waits until the gate is open.
   /// @return whether it was opened within kWaitLimit
   bool wait() {
     std::unique_lock lock(mutex_);
@@ -34,10 +35,10 @@
   bool open_ = false;
 };
 
-/// Answers each request by what `reply` does on its connection, and records the requests.
+/// Records each request and calls `reply` to answer it.
 class FakeServer {
  public:
-  /// Returning false ends the connection.
+  /// Writes the response to a request; returns false to end the connection.
   using Reply = std::function<bool(Connection&, const std::string& request)>;
   explicit FakeServer(Reply reply)
       : reply_(std::move(reply)), listener_([this](Connection& connection) { serve(connection); }) {}
@@ -48,11 +49,12 @@
     const std::lock_guard lock(mutex_);
     return requests_;
   }
-  /// Whether it comes to have received just so many requests.
+  /// Waits until the number of requests received is `count`.
+  /// @return whether it was within kWaitLimit
   bool eventually_received(std::size_t count) {
     return eventually([&] { return requests().size() == count; });
   }
-  /// Connections that the node closed.
+  /// @return the number of connections closed by the node
   int closed_by_node() const { return closed_by_node_; }
 
  private:
@@ -75,14 +77,14 @@
   Listener listener_;
 };
 
-/// The same answer to every request.
+/// Answers every request with the same response.
 inline FakeServer::Reply always_reply(int status, const std::string& body, const std::string& fields = "") {
   return [=](Connection& connection, const std::string&) {
     return connection.write(http_response(status, body, fields));
   };
 }
 
-/// The same answer to every request, once the gate is open.
+/// Waits for the gate to open, then answers every request with the same response.
 inline FakeServer::Reply reply_after(Gate& gate, int status = 200, const std::string& body = "ok",
                                      const std::string& fields = "") {
   return [=, &gate](Connection& connection, const std::string&) {
@@ -91,7 +93,7 @@
   };
 }
 
-/// No answer at all, on a connection that stays open.
+/// Never answers, and keeps the connection open.
 inline FakeServer::Reply never_reply() {
   return [](Connection&, const std::string&) { return true; };
 }
--- a/tests/node/harness/file_descriptor.h
+++ b/tests/node/harness/file_descriptor.h
@@ -1,5 +1,5 @@
 /// @file
-/// Ownership of file descriptors and the addresses of the loopback interface.
+/// An owner of a file descriptor, and TCP sockets on the loopback interface.
 #pragma once
 
 #include <arpa/inet.h>
@@ -12,7 +12,7 @@
 
 namespace nettleyoke::node {
 
-/// A file descriptor that is closed with its owner.
+/// Owns a file descriptor and closes it on destruction.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int fd = -1) : fd_(fd) {}
@@ -31,7 +31,7 @@
   int fd_;
 };
 
-/// A TCP socket that is not connected yet.
+/// Creates a TCP socket that is not connected.
 inline FileDescriptor new_tcp_socket() {
   return FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
 }
@@ -51,8 +51,9 @@
   return ::connect(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
 }
 
-/// Binds to a port of the loopback interface, 0 for any, and listens.
-/// @return the port, or -1 where it can't be bound or listened on
+/// Binds to a port of the loopback interface and listens.
+/// @param port  0: any free port
+/// @return the port, or -1 if bind or listen failed
 inline int listen_on_loopback(const FileDescriptor& socket, int port, int backlog) {
   sockaddr_in address = loopback(port);
   socklen_t size = sizeof address;
--- a/tests/node/harness/full_listener.cpp
+++ b/tests/node/harness/full_listener.cpp
@@ -12,7 +12,7 @@
 namespace nettleyoke::node {
 
 FullListener::FullListener() : listener_(new_tcp_socket()), port_(listen_on_loopback(listener_, 0, 0)) {
-  EXPECT_GT(port_, 0) << "can't listen";
+  EXPECT_GT(port_, 0) << "can't listen on a port of the loopback interface";
 }
 
 void FullListener::fill_queue() {
@@ -20,7 +20,7 @@
   ASSERT_TRUE(connect_to_loopback(filler_, port_));
 }
 
-bool FullListener::has_waiting() const {
+bool FullListener::has_waiting_connection() const {
   pollfd readable{listener_.get(), POLLIN, 0};
   return ::poll(&readable, 1, 0) > 0;
 }
@@ -42,7 +42,7 @@
 
 std::set<std::string> FullListener::pending_connect_sources() const {
   std::ifstream table("/proc/net/tcp");
-  std::ostringstream destination;  // and the state SYN-SENT
+  std::ostringstream destination;  // the destination port, followed by the state SYN-SENT (02)
   destination << ':' << std::uppercase << std::hex << std::setw(4) << std::setfill('0') << port_ << " 02 ";
   std::set<std::string> sources;
   for (std::string line; std::getline(table, line);) {
--- a/tests/node/harness/full_listener.h
+++ b/tests/node/harness/full_listener.h
@@ -1,5 +1,5 @@
 /// @file
-/// A server that accepts a connection only when the test says so.
+/// A listening socket whose queue is full, so that connects to it stay pending.
 #pragma once
 
 #include <set>
@@ -10,23 +10,25 @@
 
 namespace nettleyoke::node {
 
-/// A listening socket with room for one connection in its queue. Once fill_queue() has taken that, a connect
-/// to it stays under way until accept() frees the place.
+/// A listening socket whose queue holds one connection. After fill_queue() has taken that place, a connect to
+/// the socket stays pending until accept() frees the place.
 class FullListener {
  public:
   FullListener();
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
 
-  /// Takes the one place in the queue.
+  /// Opens a connection that takes the only place in the queue.
   void fill_queue();
-  /// Whether a connection waits to be accepted.
-  bool has_waiting() const;
-  /// The next connection that is not that of fill_queue(); none after kWaitLimit.
+  /// Whether a connection is waiting to be accepted.
+  bool has_waiting_connection() const;
+  /// Accepts the next connection, other than the one of fill_queue().
+  /// @return no descriptor if none arrives within kWaitLimit
   FileDescriptor accept();
-  /// The connects to it that are under way, as the system tells, by where they come from.
+  /// @return the source address and port of each connect to this socket that is pending, from /proc/net/tcp
   std::set<std::string> pending_connect_sources() const;
   int pending_connects() const { return static_cast<int>(pending_connect_sources().size()); }
-  /// Whether just so many connects come to be under way.
+  /// Waits until the number of pending connects is `count`.
+  /// @return whether it was within kWaitLimit
   bool eventually_has_pending_connects(int count) const {
     return eventually([&] { return pending_connects() == count; });
   }
--- a/tests/node/harness/held_server_deployment.h
+++ b/tests/node/harness/held_server_deployment.h
@@ -1,5 +1,5 @@
 /// @file
-/// A node in front of one server whose connections the test accepts and serves by hand.
+/// A node in front of one server whose connections the test accepts and serves itself.
 #pragma once
 
 #include <memory>
@@ -10,19 +10,20 @@
 
 namespace nettleyoke::node {
 
-/// A node that knows one server, s0, and is slow to give up a connect to it.
+/// A node with one server, s0, and a long connect timeout, so that a connect to it can stay pending.
 struct HeldServerDeployment {
-  /// @param can_cancel  whether attempts in flight may be cancelled; those that have no connection yet always
-  /// may
+  /// @param can_cancel  whether attempts in flight may be cancelled; an attempt without a connection can be
+  ///                    cancelled in either case
   explicit HeldServerDeployment(bool can_cancel = false) {
-    NodeConfig config = config_knowing(server.address(), discovery.address());
+    NodeConfig config = config_with_server(server.address(), discovery.address());
     config.admin = "127.0.0.1:0";
     config.bounds = bounds_with_slow_connects(can_cancel ? "true" : "false");
     program = std::make_unique<NodeProcess>(config.text());
   }
   Connection client() const { return Connection::to(program->port()); }
 
-  /// Whether the log comes to say that the request's client has disconnected.
+  /// Waits until the node has logged that the client of request `id` disconnected.
+  /// @return whether it did within kWaitLimit
   bool logged_disconnect_of(const std::string& id) const {
     return eventually([&] {
       const std::string log = program->log();
@@ -31,8 +32,9 @@
              log.substr(at, log.find('\n', at) - at).find("client disconnected after") != std::string::npos;
     });
   }
-  /// Whether the last request in flight comes to its end.
-  bool has_nothing_in_flight() const { return program->eventually_reports(R"("inflight":0,)"); }
+  /// Waits until no request is in flight.
+  /// @return whether that was so within kWaitLimit
+  bool eventually_has_nothing_in_flight() const { return program->eventually_reports(R"("inflight":0,)"); }
 
   FullListener server;
   FakeDiscovery discovery;
--- a/tests/node/harness/listener.h
+++ b/tests/node/harness/listener.h
@@ -1,5 +1,5 @@
 /// @file
-/// A listening socket whose connections are served by a function of the test.
+/// A listening socket that serves its connections with a function supplied by the test.
 #pragma once
 
 #include <atomic>
@@ -13,10 +13,10 @@
 
 namespace nettleyoke::node {
 
-/// Accepts connections, and runs `serve` for each on a thread of its own. Owns the threads and joins them.
+/// Accepts connections and runs `serve` for each in a separate thread. Owns the threads and joins them.
 class Listener {
  public:
-  /// @param port  of the loopback interface; 0: any
+  /// @param port  a port of the loopback interface; 0: any free port
   explicit Listener(std::function<void(Connection&)> serve, int port = 0);
   ~Listener() { stop(); }
   Listener(const Listener&) = delete;
@@ -26,9 +26,9 @@
   void stop();
   int port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  /// Connections accepted so far.
+  /// @return the number of connections accepted so far
   int accepted() const { return accepted_; }
-  /// Connections that are being served.
+  /// @return the number of connections being served
   int open_connections();
 
  private:
@@ -46,7 +46,7 @@
   std::thread thread_;
 };
 
-/// @return a port on which nobody listens any more: a connect to it is refused
+/// @return a free port without a listener: a connect to it is refused
 inline int unused_port() {
   return Listener([](Connection&) {}).port();
 }
--- a/tests/node/harness/node_process.cpp
+++ b/tests/node/harness/node_process.cpp
@@ -36,7 +36,7 @@
   ::setenv("RELAY_CONFIG", config_path.c_str(), 1);
   ::unsetenv("TMPDIR");
   for (const auto& [name, value] : options.environment) ::setenv(name.c_str(), value.c_str(), 1);
-  // A descriptor that has that number already would still be closed on exec.
+  // dup2() of a descriptor onto itself keeps its close-on-exec flag, so the flag is cleared here.
   if (options.inherited_listener >= 0 &&
       ::dup2(options.inherited_listener, kInheritedListenerFd) == kInheritedListenerFd) {
     ::fcntl(kInheritedListenerFd, F_SETFD, 0);
@@ -114,11 +114,11 @@
   return WIFEXITED(wait_status_) ? WEXITSTATUS(wait_status_) : -1;
 }
 
-int NodeProcess::logged_port(const std::string& text_before) const {
+int NodeProcess::logged_port(const std::string& prefix) const {
   const std::string text = log();
-  const std::size_t at = text.find(text_before);
+  const std::size_t at = text.find(prefix);
   if (at == std::string::npos || text.find('\n', at) == std::string::npos) return 0;
-  return std::stoi(text.substr(at + text_before.size()));
+  return std::stoi(text.substr(at + prefix.size()));
 }
 
 }  // namespace nettleyoke::node
--- a/tests/node/harness/request_builder.h
+++ b/tests/node/harness/request_builder.h
@@ -1,19 +1,19 @@
 /// @file
-/// The requests of clients, valid unless a test asks for something else.
+/// Requests of clients, valid by default.
 #pragma once
 
 #include <string>
 
 namespace nettleyoke::node {
 
-/// A request to a node; a field that is empty is left out of its text.
+/// A request to a node. Empty fields are omitted from its text.
 struct RequestBuilder {
   std::string request_class = "close";
   std::string id = "r1";
   std::string method = "POST";
   std::string body = "{}";
-  std::string path = {};    ///< empty: one of the class
-  std::string fields = {};  ///< further header fields, each with its line end
+  std::string path = {};    ///< empty: a path of the class
+  std::string fields = {};  ///< further header fields, each ending in CRLF
   std::string timeout_ms = "15000";
   std::string idempotency_key = {};
 
@@ -27,7 +27,7 @@
   }
 };
 
-/// A request of the idempotent class, which has no body.
+/// A GET request of the idempotent class, without a body.
 inline RequestBuilder get_request(const std::string& id) {
   return {.request_class = "look", .id = id, .method = "GET", .body = ""};
 }
--- a/tests/node/harness/scripted_discovery.h
+++ b/tests/node/harness/scripted_discovery.h
@@ -1,5 +1,5 @@
 /// @file
-/// A discovery agent that fails in a stated way, one call after another, before it answers.
+/// A discovery agent whose first calls each fail in a way that the test chooses.
 #pragma once
 
 #include <poll.h>
@@ -14,23 +14,23 @@
 
 namespace nettleyoke::node {
 
-/// What a scripted discovery does with a call, once it has read it.
+/// What a scripted discovery agent does after it has read a call.
 enum class DiscoveryStep {
-  kReset,              ///< breaks off
-  kSilence,            ///< says nothing
-  kHead,               ///< the head of an answer, then nothing
-  kHalfList,           ///< a half of the list, then nothing
-  kTrickle,            ///< the list, ever slower than it could be waited for
-  kOneEmptyLine,       ///< one empty line, then nothing
-  kEndlessEmptyLines,  ///< empty lines alone, for good
+  kReset,              ///< closes the connection with an RST
+  kSilence,            ///< sends nothing
+  kHead,               ///< sends a response header, then nothing
+  kHalfList,           ///< sends half of the list, then nothing
+  kTrickle,            ///< sends the list one byte every 0.2 s, too slowly to complete in time
+  kOneEmptyLine,       ///< sends one empty line, then nothing
+  kEndlessEmptyLines,  ///< sends empty lines until the node ends the call
 };
 
-/// Follows a script, one step a call, then answers each call with the list and keeps it open.
+/// Performs one step of the script per call. Answers each later call with the list and keeps it open.
 class ScriptedDiscovery {
  public:
   using Clock = std::chrono::steady_clock;
 
-  /// @param endpoints  of the list, joined by commas
+  /// @param endpoints  the endpoints of the list, joined by commas
   ScriptedDiscovery(std::vector<DiscoveryStep> script, const std::string& endpoints)
       : script_(std::move(script)),
         list_(endpoint_list(9, true, endpoints) + "\n"),
@@ -40,8 +40,9 @@
     const std::lock_guard lock(mutex_);
     return call_times_.size();
   }
-  /// Seconds from `start`, or from the first call, to the call that the list answers; endless where none
-  /// comes.
+  /// Waits for the first call that is answered with the list.
+  /// @param start  none: the first call
+  /// @return the seconds from `start` to that call; 1e9 if there is none within kWaitLimit
   double seconds_to_list(std::optional<Clock::time_point> start = std::nullopt) {
     if (!eventually([this] { return calls() > script_.size(); })) return 1e9;
     const std::lock_guard lock(mutex_);
@@ -63,12 +64,12 @@
     } else if (script_[call] == DiscoveryStep::kReset) {
       return connection.reset();
     } else {
-      fail_by(script_[call], connection);
+      perform(script_[call], connection);
     }
     connection.read_to_end();
   }
 
-  void fail_by(DiscoveryStep step, Connection& connection) {
+  void perform(DiscoveryStep step, Connection& connection) {
     if (step == DiscoveryStep::kSilence) return;
     connection.write(kChunkedResponseHead);
     if (step == DiscoveryStep::kHalfList) connection.write(http_chunk(list_.substr(0, list_.size() / 2)));
@@ -77,16 +78,17 @@
     if (step == DiscoveryStep::kEndlessEmptyLines) {
       do {
         connection.write(http_chunk("\n"));
-      } while (!was_ended(connection));
+      } while (!ended_by_node(connection));
     }
   }
   void trickle(Connection& connection) {
-    for (std::size_t i = 0; !was_ended(connection); ++i) {
+    for (std::size_t i = 0; !ended_by_node(connection); ++i) {
       connection.write(http_chunk(list_.substr(i, i + 2 < list_.size() ? 1 : 0)));
     }
   }
-  /// Whether the node has ended the call; polls for a fifth of a second.
-  static bool was_ended(Connection& connection) {
+  /// Waits up to 200 ms for the node to end the call.
+  /// @return whether it did
+  static bool ended_by_node(Connection& connection) {
     pollfd readable{connection.fd(), POLLIN, 0};
     return ::poll(&readable, 1, 200) > 0;
   }
--- a/tests/node/large_request_test.cpp
+++ b/tests/node/large_request_test.cpp
@@ -62,7 +62,7 @@
 
 // A node in front of a server that is no FakeServer.
 std::unique_ptr<NodeProcess> node_in_front_of(const Listener& server) {
-  return std::make_unique<NodeProcess>(config_knowing(server.address()).text());
+  return std::make_unique<NodeProcess>(config_with_server(server.address()).text());
 }
 
 TEST(LargeRequest, BothFramingsArriveUnchanged) {
@@ -183,7 +183,7 @@
 // answer.
 TEST(LargeRequest, ManyInLittleMemoryAreAllServed) {
   BodyServer server;
-  NodeConfig config = config_knowing(server.listener().address());
+  NodeConfig config = config_with_server(server.listener().address());
   config.memory_mb = 32;
   const NodeProcess node(config.text());
   const std::string body = large_body(4 * kMebibyte);
--- a/tests/node/lifecycle_race_test.cpp
+++ b/tests/node/lifecycle_race_test.cpp
@@ -24,7 +24,7 @@
     EXPECT_EQ(read_request_id(server), "connected");
     server.write(http_response(200, "ok"));
     EXPECT_EQ(body_of(connected.read_message()), "ok");
-    EXPECT_TRUE(node.has_nothing_in_flight());
+    EXPECT_TRUE(node.eventually_has_nothing_in_flight());
   }
 };
 
@@ -134,7 +134,7 @@
   EXPECT_TRUE(!GetParam() || node.logged_disconnect_of("gone"));
   EXPECT_LT(server.read_to_end().size(), length) << "its last byte is withheld";
   EXPECT_TRUE(node.logged_disconnect_of("gone"));
-  EXPECT_TRUE(node.has_nothing_in_flight());
+  EXPECT_TRUE(node.eventually_has_nothing_in_flight());
 }
 
 TEST_P(ClientDisconnect, WithMorePipelinedThanIsReadAheadIsNoticed) {
@@ -146,7 +146,7 @@
   Connection server(node.server.accept());
   ASSERT_EQ(read_request_id(server), "gone");
   disconnect(client);
-  EXPECT_TRUE(node.has_nothing_in_flight());
+  EXPECT_TRUE(node.eventually_has_nothing_in_flight());
   server.write(http_response(200, "late"));
   EXPECT_TRUE(node.logged_disconnect_of("gone"));
   expect_next_request(node, server);
@@ -170,7 +170,7 @@
   EXPECT_EQ(body_of(client.read_message()), "ok");
   ASSERT_EQ(read_request_id(server), "gone");
   disconnect(client);
-  EXPECT_TRUE(node.has_nothing_in_flight());
+  EXPECT_TRUE(node.eventually_has_nothing_in_flight());
   server.write(http_response(200, "late"));
   EXPECT_TRUE(node.logged_disconnect_of("gone"));
   expect_next_request(node, server);
@@ -182,7 +182,7 @@
   FullListener full;
   FakeServer other(always_reply(200, "ok"));
   FakeDiscovery discovery;
-  NodeConfig config = config_knowing(full.address(), discovery.address());
+  NodeConfig config = config_with_server(full.address(), discovery.address());
   config.bounds = bounds_with_slow_connects("true", "3.0");
   NodeProcess program(config.text());
   full.fill_queue();
@@ -206,7 +206,7 @@
   FakeServer failing(reply_after(gate, 500, "it may have run"));
   FullListener other;
   FakeDiscovery discovery;
-  NodeConfig config = config_knowing(failing.address(), discovery.address());
+  NodeConfig config = config_with_server(failing.address(), discovery.address());
   config.admin = "127.0.0.1:0";
   config.bounds = bounds_with_slow_connects();
   config.classes += "," + class_json("pin", "keyed", R"(,"group":"all","dedupWindow":2.0)", "15.0", "15.0");
--- a/tests/node/misbehaving_server_test.cpp
+++ b/tests/node/misbehaving_server_test.cpp
@@ -53,7 +53,7 @@
 TEST(MisbehavingServer, DuplicateResponseDoesNotAnswerTheNextAttempt) {
   FullListener server;
   FakeDiscovery discovery;
-  NodeConfig config = config_knowing(server.address(), discovery.address());
+  NodeConfig config = config_with_server(server.address(), discovery.address());
   config.bounds = bounds_with_slow_connects();
   NodeProcess program(config.text());
   Connection one = Connection::to(program.port());
@@ -81,7 +81,7 @@
     if (!connection.read_message().empty()) ++requests;
   });
   FakeDiscovery discovery;
-  NodeProcess program(config_knowing(server.address(), discovery.address()).text());
+  NodeProcess program(config_with_server(server.address(), discovery.address()).text());
   for (int i = 0; i < 5; ++i) {
     Connection client = Connection::to(program.port());
     client.write(RequestBuilder{.id = "u" + std::to_string(i)}.text());
@@ -97,7 +97,7 @@
 TEST(ServerReplacement, NewServerAtARemovedAddressGetsTheRequestOnce) {
   FullListener server;
   FakeDiscovery discovery;
-  NodeConfig config = config_knowing(server.address(), discovery.address());
+  NodeConfig config = config_with_server(server.address(), discovery.address());
   config.bounds = bounds_with_slow_connects();
   NodeProcess program(config.text());
   server.fill_queue();
--- a/tests/node/node_harness.h
+++ b/tests/node/node_harness.h
@@ -1,6 +1,6 @@
 /// @file
-/// All that the tests of a real node share: the node as a child process, and servers, discovery and clients
-/// on loopback sockets.
+/// The harness of the tests of a real node: the node as a child process, and servers, discovery agents and
+/// clients on loopback sockets.
 #pragma once
 
 #include <gtest/gtest.h>  // IWYU pragma: export
--- a/tests/node/startup_test.cpp
+++ b/tests/node/startup_test.cpp
@@ -27,7 +27,7 @@
   fails("{}", "listen");
   fails(NodeConfig{.listen = "nowhere"}.text(), "listen");
   fails(NodeConfig{.discovery = "1.2.3.4:999999"}.text(), "discovery");
-  fails(NodeConfig{.known_list = "{\"index\":1}"}.text(), "endpoints");
+  fails(NodeConfig{.initial_endpoint_list = "{\"index\":1}"}.text(), "endpoints");
   fails(NodeConfig{.bounds = R"("maxAttempts":0)"}.text(), "max_attempts");
   Listener taken([](Connection&) {});
   fails(NodeConfig{.listen = taken.address()}.text(), "listen");
@@ -48,14 +48,14 @@
 void PrintTo(const StartScript& script, std::ostream* out) { *out << script.name; }
 
 NodeConfig config_of(const StartScript& script, const std::string& discovery) {
-  NodeConfig config = script.knows_replaced_servers ? config_knowing(kUnreachable) : NodeConfig{};
+  NodeConfig config = script.knows_replaced_servers ? config_with_server(kUnreachable) : NodeConfig{};
   config.discovery = discovery;
   config.registry_mode = script.registry_mode;
   return config;
 }
 
 NodeConfig config_without_discovery() {
-  NodeConfig config = config_knowing(kUnreachable, kUnreachable);
+  NodeConfig config = config_with_server(kUnreachable, kUnreachable);
   config.registry_mode = "automatic";
   return config;
 }
--- a/tests/node/watch_notification_test.cpp
+++ b/tests/node/watch_notification_test.cpp
@@ -31,7 +31,7 @@
 std::string name_of(const testing::TestParamInfo<WatchScript>& script) { return script.param.name; }
 
 NodeConfig config_of(const WatchScript& script, const std::string& discovery) {
-  NodeConfig config = config_knowing(kUnreachable, discovery);
+  NodeConfig config = config_with_server(kUnreachable, discovery);
   config.registry_mode = script.registry_mode;
   return config;
 }
@@ -136,7 +136,7 @@
 TEST(WatchNotification, DrainWhileAConnectIsPendingSendsTheServerNothing) {
   FullListener server;
   FakeDiscovery discovery;
-  NodeConfig config = config_knowing(server.address(), discovery.address());
+  NodeConfig config = config_with_server(server.address(), discovery.address());
   config.registry_mode = "automatic";
   config.bounds = R"("maxAttempts":3,"dialTimeout":14.0)";
   NodeProcess program(config.text());
