--- a/tests/lab/discovery_agent_test.cpp
+++ b/tests/lab/discovery_agent_test.cpp
@@ -1,4 +1,4 @@
-// What discovery's agent shows to a node, against the pages.
+// The discovery agent's responses to a node: endpoint lists, and watches with changes and faults.
 #include "stand_ins/discovery_agent.h"
 
 #include "lab_harness.h"
@@ -26,6 +26,7 @@
     connection.write("GET /catalog/members" + query + " HTTP/1.1\r\nHost: agent\r\n\r\n");
     return connection;
   }
+  // The version of the endpoint list that the agent sends now.
   std::string listed_version() const {
     Connection connection = get("");
     const std::string list = connection.read_message();
@@ -33,7 +34,7 @@
   }
 };
 
-TEST_F(DiscoveryAgentTest, ListOrWatchRequested_FullListOrChangesSinceTheVersion) {
+TEST_F(DiscoveryAgentTest, ListOrWatchRequested_AgentSendsFullListOrChangesSinceTheVersion) {
   const std::string all = get("").read_message();
   EXPECT_NE(all.find(R"("index":2,"snapshot":true)"), std::string::npos) << all;
   EXPECT_NE(all.find(R"("name":"s0","address":"127.0.0.1:9","zone":"a")"), std::string::npos) << all;
@@ -45,21 +46,21 @@
   const std::string next = read_until(watch, "}]}");
   EXPECT_NE(next.find(R"("index":3,"snapshot":false)"), std::string::npos) << next;
   EXPECT_NE(next.find(R"("status":"draining")"), std::string::npos) << next;
-  EXPECT_NE(read_until(watch, "1\r\n\n\r\n"), "");  // an empty line, while nothing changes
-  // A version that it never had: the full list.
+  EXPECT_NE(read_until(watch, "1\r\n\n\r\n"), "");  // an empty line while nothing changes
+  // After a version that the agent never had, it sends the full list.
   Connection other = get("?watch=1&after=99");
   const std::string full = read_until(other, "}]}");
   EXPECT_NE(full.find(R"("index":3,"snapshot":true)"), std::string::npos) << full;
 }
 
-TEST_F(DiscoveryAgentTest, DiscoveryDown_WatchRequested_AnsweredOnceDiscoveryIsBack) {
+TEST_F(DiscoveryAgentTest, DiscoveryDown_WatchRequested_ChangeIsSentOnceDiscoveryIsUp) {
   loop.in_loop([this] {
     agent.set_down(true);
     change("s1", EndpointStatus::kRemoved);
   });
   Connection watch = get("?watch=1&after=2");
   loop.in_loop([this] {
-    EXPECT_EQ(agent.version(), 2U);  // it learns nothing
+    EXPECT_EQ(agent.version(), 2U);  // the agent receives no change while discovery is down
     agent.set_down(false);
   });
   EXPECT_NE(read_until(watch, "}]}").find(R"("status":"removed")"), std::string::npos);
@@ -67,7 +68,7 @@
   EXPECT_EQ(read_until(watch, "never"), "");
 }
 
-TEST_F(DiscoveryAgentTest, WatchStalled_ServerDrains_NoUpdateThereAndOneOnTheNextWatch) {
+TEST_F(DiscoveryAgentTest, WatchStalled_ServerDrains_ChangeIsSentOnTheNextWatchOnly) {
   Connection stalled = get("?watch=1&after=2");
   read_until(stalled, "}");
   loop.in_loop([this] {
@@ -76,12 +77,12 @@
   });
   Connection next = get("?watch=1&after=2");
   EXPECT_NE(read_until(next, "}]}").find(R"("status":"draining")"), std::string::npos);
-  read_until(next, "1\r\n\n\r\n");  // an empty line has come here, and there nothing at all
+  read_until(next, "1\r\n\n\r\n");  // an empty line; on the stalled watch nothing is sent
   ::shutdown(stalled.fd(), SHUT_RD);
   EXPECT_EQ(read_until(stalled, "draining"), "");
 }
 
-TEST_F(DiscoveryAgentTest, PartitionedOrDelayed_ServerChanges_AnswersWithTheVersionItHas) {
+TEST_F(DiscoveryAgentTest, PartitionedOrDelayed_ServerChanges_AgentKeepsItsVersion) {
   loop.in_loop([this] {
     agent.set_partitioned(true);
     change("s1", EndpointStatus::kRemoved);
--- a/tests/lab/experiment_reader_test.cpp
+++ b/tests/lab/experiment_reader_test.cpp
@@ -1,4 +1,4 @@
-// Experiment files: errors name file, line and field.
+// Experiment files: an error names the file, the line and the field.
 #include "run/experiment_reader.h"
 
 #include <gtest/gtest.h>
@@ -23,15 +23,16 @@
 per_second = 10.0
 )";
 
-// What is wrong with an experiment of this text, less the file's name.
+// Returns the error for an experiment file with this text, without the leading file name; empty if it is
+// valid.
 std::string error_of(const std::string& text) {
   const std::string path = testing::TempDir() + "/experiment_" + std::to_string(getpid()) + ".toml";
   std::ofstream(path) << text;
   std::string error;
   try {
     static_cast<void>(read_experiment(path));
-  } catch (const ExperimentError& problem) {
-    error = problem.what();
+  } catch (const ExperimentError& exception) {
+    error = exception.what();
     EXPECT_EQ(error.compare(0, path.size(), path), 0) << error;
     error.erase(0, path.size());
   }
@@ -39,7 +40,7 @@
   return error;
 }
 
-TEST(ExperimentReader, FileHasAnError_ErrorNamesItsLineAndField) {
+TEST(ExperimentReader, InvalidFile_ErrorNamesItsLineAndField) {
   const std::string good = kGoodFile;
   EXPECT_EQ(error_of(good), "");
   EXPECT_EQ(error_of("seconds = 1.0 2"), ":1: " + error_of("seconds = 1.0 2").substr(4));
@@ -55,7 +56,7 @@
   EXPECT_EQ(error_of(good + "[nodes]\ncount = 0\n"), ":13: nodes.count is not at least 1, where hollow is 0");
 }
 
-TEST(ExperimentReader, FaultOfEachWord_KeepsItsWordInResults) {
+TEST(ExperimentReader, EachFaultWord_IsReadAndWrittenUnchanged) {
   const std::string words = fault_words();
   EXPECT_EQ(words, "hang, slow, fail, mend, crash, start, drain, remove, silence, reset, stall, late, cut");
   for (const char* word : {"hang", "slow", "fail", "mend", "crash", "start", "drain", "remove", "silence",
--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -1,4 +1,5 @@
-// A hollow node against a real one, on the same changes and calls: decisions, control bytes, state.
+// A hollow node and a real one, given the same changes and calls, agree in decisions, control bytes and
+// state.
 #include "nodes/hollow_node.h"
 
 #include <algorithm>
@@ -20,7 +21,7 @@
 Experiment one_class_experiment() {
   Experiment experiment;
   experiment.nodes.zones = {"a"};
-  experiment.settings.max_attempts = 1;  // so that a machine that is slow changes no count
+  experiment.settings.max_attempts = 1;  // so that the counts don't depend on the speed of the machine
   ClassSpec spec;
   spec.name = "look";
   spec.latency_objective = spec.client_timeout = 30;
@@ -32,7 +33,7 @@
 
 struct HollowAndRealNode : testing::Test {
   static constexpr int kServers = 12, kReplicaIndex = 1, kReplicaCount = 6;
-  static constexpr std::size_t kSubset = 5;  // of 12 servers, for one of 6 replicas
+  static constexpr std::size_t kSubsetSize = 5;  // subset size for 12 servers and 6 replicas
 
   node::Clock clock;
   Experiment experiment = one_class_experiment();
@@ -42,7 +43,7 @@
   std::vector<std::unique_ptr<ServerStandIn>> servers;
   EndpointCatalog catalog;
   std::vector<std::unique_ptr<DiscoveryAgent>> agents;
-  std::vector<std::unique_ptr<NodeUnderTest>> nodes;  // the real one, the hollow one
+  std::vector<std::unique_ptr<NodeUnderTest>> nodes;  // the real node, then the hollow node
   int calls = 0;
 
   void SetUp() override {
@@ -60,9 +61,9 @@
     nodes.push_back(std::make_unique<HollowNode>(
         loop.io(), clock, HollowNode::Place{folder.string(), "hollow", "a", hollow},
         [this](const std::string& name) {
-          const auto is_it = [&name](const auto& server) { return server->name() == name; };
-          const auto at = std::find_if(servers.begin(), servers.end(), is_it);
-          return at == servers.end() ? nullptr : at->get();
+          const auto has_name = [&name](const auto& server) { return server->name() == name; };
+          const auto found = std::find_if(servers.begin(), servers.end(), has_name);
+          return found == servers.end() ? nullptr : found->get();
         }));
     loop.start();
     for (std::size_t i = 0; i < nodes.size(); ++i) {
@@ -89,26 +90,26 @@
     agents.back()->publish(catalog);
     return number;
   }
-  std::string config(std::size_t which) const {
+  std::string config(std::size_t node_index) const {
     return R"({"name":"n","listen":"127.0.0.1:0","ops":"127.0.0.1:0","seed":"17","discovery":"127.0.0.1:)" +
-           std::to_string(agents[which]->endpoint().port()) + R"(","known":)" + catalog.full_list() +
+           std::to_string(agents[node_index]->endpoint().port()) + R"(","known":)" + catalog.full_list() +
            R"(,"settings":)" + settings_json(experiment, {0, "a", kReplicaIndex, kReplicaCount}) + "}";
   }
   void set(int server, EndpointStatus status) {
-    const ServerStandIn& one = *servers[static_cast<std::size_t>(server)];
-    catalog.set({one.name(), one.address(), "a", status, 0});
+    const ServerStandIn& stand_in = *servers[static_cast<std::size_t>(server)];
+    catalog.set({stand_in.name(), stand_in.address(), "a", status, 0});
     for (const auto& agent : agents) agent->publish(catalog);
   }
-  std::string admin(std::size_t which, const std::string& line) const {
-    const auto where = nodes[which]->admin_endpoint();
-    if (!where) return {};
-    Connection connection = Connection::to(where->port());
-    connection.write(line + "\n");
+  std::string admin(std::size_t node_index, const std::string& command) const {
+    const auto endpoint = nodes[node_index]->admin_endpoint();
+    if (!endpoint) return {};
+    Connection connection = Connection::to(endpoint->port());
+    connection.write(command + "\n");
     return connection.read_to_end();
   }
-  // The servers that so many calls, one after the other, went to.
-  std::set<std::string> used(std::size_t which, int count) {
-    std::set<std::string> out;
+  // Sends `count` calls, one after the other, and returns the servers that received them.
+  std::set<std::string> servers_used(std::size_t node_index, int count) {
+    std::set<std::string> used;
     for (int i = 0; i < count; ++i) {
       NodeUnderTest::Call call;
       call.id = "c" + std::to_string(++calls);
@@ -117,8 +118,8 @@
       call.timeout = 30;
       std::promise<CallOutcome> ended;
       loop.in_loop([&] {
-        checker.call_sent(call.id, nodes[which]->number(), 0, call.timeout, clock.now());
-        nodes[which]->call(call, [&](CallOutcome outcome) {
+        checker.call_sent(call.id, nodes[node_index]->number(), 0, call.timeout, clock.now());
+        nodes[node_index]->call(call, [&](CallOutcome outcome) {
           checker.call_ended(call.id, outcome, clock.now());
           ended.set_value(outcome);
         });
@@ -126,41 +127,42 @@
       EXPECT_EQ(ended.get_future().get(), CallOutcome::kServed);
       loop.in_loop([&] {
         for (const InvariantChecker::Attempt& attempt : checker.calls().at(call.id).attempts) {
-          out.insert(checker.servers()[attempt.server]);
+          used.insert(checker.servers()[attempt.server]);
         }
       });
     }
-    return out;
+    return used;
   }
 };
 
 TEST_F(HollowAndRealNode, SameCallsAndChanges_SameSubsetExclusionsAndCounters) {
   constexpr int kCalls = 60;
-  const std::set<std::string> real = used(0, kCalls), hollow = used(1, kCalls);
-  // The subset is worked out from the replica's index alone: both have the same.
+  const std::set<std::string> real = servers_used(0, kCalls), hollow = servers_used(1, kCalls);
+  // The subset depends only on the replica's index and the replica count, so both nodes have the same one.
   std::set<std::string> both = real;
   both.insert(hollow.begin(), hollow.end());
-  EXPECT_LE(both.size(), kSubset);
+  EXPECT_LE(both.size(), kSubsetSize);
   EXPECT_GE(real.size(), 2U);
   EXPECT_GE(hollow.size(), 2U);
-  // Two of these drain or leave, a third is disabled by an operator, and a new one comes.
-  const std::vector<std::string> usual(both.begin(), both.end());
-  ASSERT_GE(usual.size(), 3U);
+  // One server of the subset drains, one is removed, one is disabled on the admin server, and a new one is
+  // added.
+  const std::vector<std::string> subset(both.begin(), both.end());
+  ASSERT_GE(subset.size(), 3U);
   loop.in_loop([&] {
-    set(std::stoi(usual[0].substr(1)), EndpointStatus::kDraining);
-    set(std::stoi(usual[1].substr(1)), EndpointStatus::kRemoved);
+    set(std::stoi(subset[0].substr(1)), EndpointStatus::kDraining);
+    set(std::stoi(subset[1].substr(1)), EndpointStatus::kRemoved);
     set(kServers, EndpointStatus::kUp);
   });
-  for (std::size_t which = 0; which < nodes.size(); ++which) {
+  for (std::size_t node_index = 0; node_index < nodes.size(); ++node_index) {
     const std::string index = std::to_string(catalog.version());
-    EXPECT_EQ(admin(which, "DISABLE " + usual[2]), "YES\n");
-    EXPECT_EQ(admin(which, "DISABLE nobody"), "NO unknown server\n");
-    // One listed server less and one more: the change is in force once it names the new one.
-    EXPECT_TRUE(node::eventually([&] { return admin(which, "ENABLE s12") == "YES\n"; }));
+    EXPECT_EQ(admin(node_index, "DISABLE " + subset[2]), "YES\n");
+    EXPECT_EQ(admin(node_index, "DISABLE nobody"), "NO unknown server\n");
+    // The node has applied the changes once it accepts a command for the new server.
+    EXPECT_TRUE(node::eventually([&] { return admin(node_index, "ENABLE s12") == "YES\n"; }));
   }
-  for (std::size_t which = 0; which < nodes.size(); ++which) {
-    const std::set<std::string> now = used(which, kCalls);
-    for (int i = 0; i < 3; ++i) EXPECT_FALSE(now.contains(usual[static_cast<std::size_t>(i)])) << which;
+  for (std::size_t node_index = 0; node_index < nodes.size(); ++node_index) {
+    const std::set<std::string> now = servers_used(node_index, kCalls);
+    for (int i = 0; i < 3; ++i) EXPECT_FALSE(now.contains(subset[static_cast<std::size_t>(i)])) << node_index;
   }
   EXPECT_EQ(admin(0, "STATS"), admin(1, "STATS"));
   loop.in_loop([this] {
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -1,4 +1,4 @@
-// What the checker says of calls that keep or violate each rule.
+// The violations that the checker counts for calls that keep or break each rule.
 #include "checks/invariant_checker.h"
 
 #include "lab_harness.h"
@@ -67,7 +67,7 @@
   EXPECT_EQ(violations("drain"), 1U);
 }
 
-TEST_F(InvariantCheckerTest, AttemptMayHaveRun_RetryArrives_ViolationPastWhatItsClassAllows) {
+TEST_F(InvariantCheckerTest, AttemptMayHaveRun_RetryArrives_ViolationUnlessItsClassAllowsIt) {
   is_connected = false;
   call_with_retry("safe", kIdempotentClass, AttemptOutcome::kServerError, 1.5);
   call_with_retry("keyed, within its window", kKeyedClass, AttemptOutcome::kServerError, 0.9);
@@ -78,7 +78,7 @@
   EXPECT_EQ(violations("duplicate"), 2U);
 }
 
-TEST_F(InvariantCheckerTest, CallAnswered_AttemptOrSecondAnswerOrNoAnswer_Violation) {
+TEST_F(InvariantCheckerTest, LateAttemptOrSecondAnswerOrUnknownCallOrNoAnswer_Violation) {
   checker.call_sent("open to the end", node, kIdempotentClass, 2, 0);
   checker.call_sent("answered", node, kIdempotentClass, 2, 0);
   checker.call_ended("answered", CallOutcome::kFailed, 0.2);
--- a/tests/lab/lab_harness.h
+++ b/tests/lab/lab_harness.h
@@ -1,5 +1,6 @@
 /// @file
-/// What tests of the lab share: an event loop beside the test, specs, and a server and an agent on loopback.
+/// The harness of the lab's tests: an event loop in a separate thread, request classes and rules, and the
+/// fixture of the tests of stand-ins.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +19,8 @@
 
 namespace nettleyoke::lab {
 
-/// Runs an event loop beside the test, from start() on; what it serves is made before and destroyed after.
+/// Runs an event loop in a separate thread from start() to stop(). Create the objects that use the loop
+/// before start(), and destroy them after stop().
 class Loop {
  public:
   ~Loop() { stop(); }
@@ -26,7 +28,7 @@
   void start() {
     thread_ = std::thread([this] { io_.run(); });
   }
-  /// Calls `action` in the loop's own thread and returns once it is done.
+  /// Calls `action` in the loop's thread and waits until it returns.
   template <typename Action>
   void in_loop(Action action) {
     std::promise<void> done;
@@ -47,7 +49,7 @@
   std::thread thread_;
 };
 
-/// A class whose requests take next to no work.
+/// Returns a class whose requests take 0.1 ms of work.
 inline ClassSpec class_spec(Idempotency idempotency) {
   ClassSpec spec;
   spec.name = "look";
@@ -58,23 +60,24 @@
   return spec;
 }
 
-/// Half a second of answer slack and of drain grace, no hedging.
+/// Returns rules with an answer slack and a drain grace of 0.5 s each, and without hedging.
 inline InvariantChecker::Rules strict_rules(std::vector<ClassSpec> classes) {
   return {0.5, 0.5, false, std::move(classes)};
 }
 
-/// What comes up to and with `last`; empty where the connection ends before.
-inline std::string read_until(node::Connection& connection, const std::string& last) {
+/// Reads until the bytes received contain `end`.
+/// @return these bytes; empty if the connection ends first
+inline std::string read_until(node::Connection& connection, const std::string& end) {
   std::string text;
-  while (text.find(last) == std::string::npos) {
-    const std::string more = connection.read_some();
-    if (more.empty()) return {};
-    text += more;
+  while (text.find(end) == std::string::npos) {
+    const std::string received = connection.read_some();
+    if (received.empty()) return {};
+    text += received;
   }
   return text;
 }
 
-/// A checker with one node and an event loop, for a stand-in that a test drives over sockets.
+/// A fixture with an event loop and a checker that has one node, for tests that connect to a stand-in.
 struct StandInTest : testing::Test {
   node::Clock clock;
   InvariantChecker checker{strict_rules({class_spec(Idempotency::kIdempotent)})};
--- a/tests/lab/lab_program_test.cpp
+++ b/tests/lab/lab_program_test.cpp
@@ -1,4 +1,4 @@
-// The lab's program, on real nodes. Only what no timing moves is checked.
+// The lab's program with real nodes. The tests check only results that don't depend on timing.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -28,7 +28,7 @@
 
 std::string experiment(const std::string& name) { return std::string(EXPERIMENTS) + "/" + name + ".toml"; }
 
-// One run of the program, in a folder of its own that goes with it.
+// One run of the program, in a temporary folder that is removed with the object.
 class LabProgram {
  public:
   explicit LabProgram(const std::vector<std::string>& arguments) {
@@ -60,21 +60,21 @@
   LabProgram& operator=(const LabProgram&) = delete;
 
   int exit_status() {
-    int out = 0;
-    ::waitpid(std::exchange(pid_, -1), &out, 0);
-    return WIFEXITED(out) ? WEXITSTATUS(out) : -1;
+    int wait_status = 0;
+    ::waitpid(std::exchange(pid_, -1), &wait_status, 0);
+    return WIFEXITED(wait_status) ? WEXITSTATUS(wait_status) : -1;
   }
   void signal(int number) const { ::kill(pid_, number); }
   std::string errors() const { return text_of(folder_ / "err"); }
   const fs::path& folder() const { return folder_; }
   rapidjson::Document results(const std::string& name) const {
-    rapidjson::Document out;
-    out.Parse(text_of(folder_ / "results" / (name + ".json")).c_str());
-    EXPECT_FALSE(out.HasParseError());
-    return out;
+    rapidjson::Document document;
+    document.Parse(text_of(folder_ / "results" / (name + ".json")).c_str());
+    EXPECT_FALSE(document.HasParseError());
+    return document;
   }
-  // How many processes have their files in its folder.
-  int nodes_left() const {
+  // The number of processes whose configuration is in the folder, which are the run's nodes.
+  int running_nodes() const {
     int count = 0;
     for (const fs::directory_entry& process : fs::directory_iterator("/proc")) {
       count +=
@@ -94,12 +94,12 @@
   EXPECT_NE(lab.errors().find("no-such-file.toml:1: "), std::string::npos) << lab.errors();
 }
 
-TEST(LabProgram, BriefExperiment_RulesKeptAndResultsWritten) {
-  const std::string second_file = testing::TempDir() + "/lab_json_" + std::to_string(getpid()) + ".json";
-  LabProgram lab({"run", experiment("brief"), "--seed", "5", "--json", second_file});
+TEST(LabProgram, BriefExperiment_NoViolationsAndResultsWritten) {
+  const std::string json_file = testing::TempDir() + "/lab_json_" + std::to_string(getpid()) + ".json";
+  LabProgram lab({"run", experiment("brief"), "--seed", "5", "--json", json_file});
   ASSERT_EQ(lab.exit_status(), 0);
-  EXPECT_EQ(text_of(second_file), text_of(lab.folder() / "results" / "brief-5.json"));
-  std::remove(second_file.c_str());
+  EXPECT_EQ(text_of(json_file), text_of(lab.folder() / "results" / "brief-5.json"));
+  std::remove(json_file.c_str());
   const rapidjson::Document results = lab.results("brief-5");
   ASSERT_TRUE(results.IsObject());
   EXPECT_TRUE(results["good"].GetBool());
@@ -109,7 +109,8 @@
   for (const rapidjson::Value& node : results["nodes"].GetArray()) {
     calls += node["calls"].GetUint64();
     served += node["served"].GetUint64();
-    // Whatever became of the watch, the last version is there: at a hollow node in force, else at the agent.
+    // Whatever happened to the watch, the latest version has arrived: it is in force in a hollow node, and
+    // for a real node the agent has it.
     EXPECT_EQ(node["list_index"].GetUint64(), node["latest_index"].GetUint64());
     EXPECT_GE(node["watch_calls"].GetUint64(), 1U);
     EXPECT_EQ(node["stats"]["inflight"].GetUint64(), 0U);
@@ -117,10 +118,10 @@
   }
   EXPECT_GT(calls, 0U);
   EXPECT_GT(served, 0U);
-  EXPECT_EQ(lab.nodes_left(), 0);
+  EXPECT_EQ(lab.running_nodes(), 0);
 }
 
-TEST(LabProgram, TwoTiers_ServersAnswerWithACallOfTheNextTier) {
+TEST(LabProgram, TwoTiers_ServersOfTheFirstCallTheSecond) {
   LabProgram lab({"run", experiment("brief-tiers")});
   ASSERT_EQ(lab.exit_status(), 0);
   const rapidjson::Document results = lab.results("brief-tiers-4");
@@ -129,27 +130,28 @@
   for (const rapidjson::Value& node : results["nodes"].GetArray()) {
     served[node["tier"].GetUint64()] += node["served"].GetUint64();
   }
-  EXPECT_EQ(results["nodes"].Size(), 4U);  // one before the first tier, and one beside each of its servers
+  // One node in front of the first tier, and one for each server of that tier.
+  EXPECT_EQ(results["nodes"].Size(), 4U);
   EXPECT_GT(served[0], 0U);
-  EXPECT_GE(served[1], served[0]);  // what the first tier served had an answer of the second
+  EXPECT_GE(served[1], served[0]);  // each call served by the first tier includes one served by the second
 }
 
-TEST(LabProgram, NodesDoNotComeUp_ExitStatus1) {
+TEST(LabProgram, NodesFailToStart_ExitStatus1) {
   LabProgram lab({"run", experiment("brief"), "--node", "/bin/false"});
   EXPECT_EQ(lab.exit_status(), 1);
   EXPECT_NE(lab.errors().find("a node ended as it started"), std::string::npos) << lab.errors();
 }
 
-TEST(LabProgram, Running_Terminated_ExitStatus130PartialResultsAndNoNodeLeft) {
+TEST(LabProgram, Running_Terminated_ExitStatus130PartialResultsAndNoNodeRunning) {
   LabProgram lab({"run", experiment("first")});
   for (const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
        lab.errors().find("\"calls\"") == std::string::npos && std::chrono::steady_clock::now() < until;) {
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
-  EXPECT_EQ(lab.nodes_left(), 2);
+  EXPECT_EQ(lab.running_nodes(), 2);
   lab.signal(SIGTERM);
   EXPECT_EQ(lab.exit_status(), 130);
-  EXPECT_EQ(lab.nodes_left(), 0);
+  EXPECT_EQ(lab.running_nodes(), 0);
   const rapidjson::Document results = lab.results("first-7");
   ASSERT_TRUE(results.IsObject());
   EXPECT_TRUE(results["cut_off"].GetBool());
--- a/tests/lab/load_generator_test.cpp
+++ b/tests/lab/load_generator_test.cpp
@@ -1,4 +1,4 @@
-// The load generator, on a node that records its calls.
+// The load generator, with a node that records the calls it receives.
 #include "load/load_generator.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-// Records its calls; rejects the first so many and never answers the others.
+// Records its calls, rejects the first `rejection_count` of them and never answers the others.
 struct RecordingNode : NodeUnderTest {
   RecordingNode(boost::asio::io_context& loop, std::size_t rejection_count)
       : io(loop), rejections_left(rejection_count) {}
@@ -18,7 +18,7 @@
   void start(const std::string& /*config*/, std::function<void()> /*ready*/) override {}
   void call(const Call& call, std::function<void(CallOutcome)> ended) override {
     calls.push_back(call);
-    if (rejections_left == 0) return;  // the load goes on all the same
+    if (rejections_left == 0) return;  // no answer; the load generator must continue
     --rejections_left;
     boost::asio::post(io, [ended = std::move(ended)] { ended(CallOutcome::kRejected); });
   }
@@ -37,7 +37,7 @@
   std::vector<Call> calls;
 };
 
-// The calls of 0.2 s at 200 a second.
+// Returns the calls of a load of 200 per second for 0.2 s.
 std::vector<NodeUnderTest::Call> calls_of(std::uint64_t seed, std::size_t rejection_count) {
   boost::asio::io_context io;
   const node::Clock clock;
@@ -60,7 +60,7 @@
   return node.calls;
 }
 
-TEST(LoadGenerator, NodeNeverAnswers_AllCallsAreSentAndTheSameForASeed) {
+TEST(LoadGenerator, NodeNeverAnswers_AllCallsAreSentAndDependOnTheSeedOnly) {
   const auto calls = calls_of(5, 0), again = calls_of(5, 0), others = calls_of(6, 0);
   ASSERT_GT(calls.size(), 10U);
   ASSERT_EQ(calls.size(), again.size());
@@ -72,7 +72,7 @@
   EXPECT_NE(calls[0].id, others[0].id);
 }
 
-TEST(LoadGenerator, CallRejected_RetryIsSentUnderANewIdWithLessTime) {
+TEST(LoadGenerator, CallRejected_RetryIsSentWithANewIdAndLessTime) {
   const auto calls = calls_of(5, 1);
   const auto retry = std::find_if(calls.begin(), calls.end(), [](const auto& call) { return call.is_retry; });
   ASSERT_NE(retry, calls.end());
--- a/tests/lab/server_model_test.cpp
+++ b/tests/lab/server_model_test.cpp
@@ -1,4 +1,4 @@
-// The server's model, without sockets.
+// The model of a server, without sockets.
 #include "stand_ins/server_model.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-const char* word_for(ServerModel::Outcome outcome) {
+const char* name_of(ServerModel::Outcome outcome) {
   switch (outcome) {
     case ServerModel::Outcome::kServed:
       return "served";
@@ -23,18 +23,18 @@
   return "expired";
 }
 
-TEST(ServerModel, OneSlotAndAQueue_RequestsBegin_OneRunsTwoWaitTheRestIsRejected) {
+TEST(ServerModel, OneSlotAndQueueOfTwo_FourRequestsBegin_OneRunsTwoWaitOneIsRejected) {
   boost::asio::io_context io;
   const node::Clock clock;
   ServerModel model(io, clock, {1, 1, 2, 1, 0});
   std::string ends;
   const auto begin = [&](const char* name, double deadline) {
     return model.begin(0.001, deadline, [&ends, name](ServerModel::Outcome outcome) {
-      ends += std::string(name) + " " + word_for(outcome) + ", ";
+      ends += std::string(name) + " " + name_of(outcome) + ", ";
     });
   };
   begin("first", 60);
-  begin("second", 0);  // by the time it could run nobody waits for it any more
+  begin("second", 0);  // its deadline has passed by the time it could run
   const ServerModel::JobId third = begin("third", 60);
   begin("fourth", 60);
   model.cancel(third);
--- a/tests/lab/server_stand_in_test.cpp
+++ b/tests/lab/server_stand_in_test.cpp
@@ -1,4 +1,4 @@
-// What a server stand-in shows to a node, against the pages.
+// The server stand-in's responses to a node, and the attempt outcomes that it reports to the checker.
 #include "stand_ins/server_stand_in.h"
 
 #include "lab_harness.h"
@@ -14,7 +14,7 @@
 
   int port() const { return std::stoi(server.address().substr(std::string("127.0.0.1:").size())); }
   Connection connect() const { return Connection::to(port()); }
-  // The head and body of what a call brings about.
+  // Records a call in the checker, sends it, and returns the response.
   std::string call(Connection& connection, const std::string& id) {
     loop.in_loop([&] { checker.call_sent(id, node_number, 0, 20, clock.now()); });
     return send(connection, id) ? connection.read_message() : "";
@@ -38,18 +38,18 @@
   }
 };
 
-TEST_F(ServerStandInTest, Up_RequestsArrive_AnswersAsThePagesHaveIt) {
+TEST_F(ServerStandInTest, Up_RequestsArrive_ResponsesAndOutcomesFitEachRequest) {
   Connection connection = connect();
   EXPECT_EQ(node::body_of(call(connection, "r1")), "r1 s0");
   EXPECT_EQ(outcome("r1"), AttemptOutcome::kServed);
   ASSERT_TRUE(send(connection, ""));
-  EXPECT_EQ(node::status_of(connection.read_message()), 404);  // no id
+  EXPECT_EQ(node::status_of(connection.read_message()), 404);  // without an id
   ASSERT_TRUE(send(connection, "nobody's"));
   EXPECT_EQ(node::status_of(connection.read_message()), 400);
   loop.in_loop([this] { server.model().set_failing(true); });
   EXPECT_EQ(node::status_of(call(connection, "r2")), 500);
   EXPECT_EQ(outcome("r2"), AttemptOutcome::kServerError);
-  // More connections than it takes: rejected unprocessed.
+  // On a connection over the limit of two, the request is rejected unprocessed.
   Connection second = connect(), third = connect();
   call(second, "r3");
   const std::string rejection = call(third, "r4");
