--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -61,7 +61,7 @@
   void (*disconnect_in_state)(DisconnectSetup&);  // brings about the state and disconnects the client
 };
 // NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest looks for
-void PrintTo(const DisconnectCase& state, std::ostream* out) { *out << state.name; }
+void PrintTo(const DisconnectCase& disconnect_case, std::ostream* out) { *out << disconnect_case.name; }
 
 // The node accepts the connection after the disconnect, and reads the request before the end of the
 // connection.
@@ -130,10 +130,11 @@
 // The server has received the bytes sent so far of a streamed body and waits for the rest.
 void before_the_rest_of_its_body(DisconnectSetup& setup) {
   const std::string text = RequestBuilder{.id = "gone", .body = std::string(2 * kMebibyte, 'b')}.text();
-  const std::size_t part = kMebibyte + 64 * kKibibyte;
-  setup.client.write(text.substr(0, part));
+  const std::size_t first_size = kMebibyte + 64 * kKibibyte;
+  setup.client.write(text.substr(0, first_size));
   setup.server = Connection(setup.node.server.accept());
-  EXPECT_LT(setup.read_all_with_disconnect_after(part - 16 * kKibibyte).size(), text.size() - kKibibyte);
+  EXPECT_LT(setup.read_all_with_disconnect_after(first_size - 16 * kKibibyte).size(),
+            text.size() - kKibibyte);
 }
 
 void before_the_rest_of_its_chunks(DisconnectSetup& setup) {
@@ -151,17 +152,17 @@
 void in_the_same_iteration_as_the_end_of_its_streamed_body(DisconnectSetup& setup) {
   const std::string text =
       RequestBuilder{.id = "gone", .body = std::string(kMebibyte + 64 * kKibibyte, 'b')}.text();
-  const std::size_t last = 2 * kKibibyte;
-  setup.client.write(text.substr(0, text.size() - last));
+  const std::size_t last_size = 2 * kKibibyte;
+  setup.client.write(text.substr(0, text.size() - last_size));
   setup.server = Connection(setup.node.server.accept());
   std::size_t received = 0;
-  while (received < text.size() - last - kKibibyte) received += setup.server.read_some().size();
+  while (received < text.size() - last_size - kKibibyte) received += setup.server.read_some().size();
   setup.node.program->suspend();
-  setup.client.write(text.substr(text.size() - last));
+  setup.client.write(text.substr(text.size() - last_size));
   setup.disconnect();
   setup.node.program->resume();
   while (setup.server.receive_more()) received += setup.server.read_some().size();
-  EXPECT_LT(received, text.size() - last + kKibibyte) << "the node forwarded the last bytes of the body";
+  EXPECT_LT(received, text.size() - last_size + kKibibyte) << "the node forwarded the last bytes of the body";
   setup.server.close();
 }
 
@@ -217,8 +218,8 @@
             DisconnectCase{"WhileThePreviousResponseIsWritten", while_the_previous_response_is_written},
             DisconnectCase{"InThePauseAfterAnError", in_the_pause_after_an_error}),
         testing::Bool()),
-    [](const auto& with) {
-      return std::string(std::get<0>(with.param).name) + (std::get<1>(with.param) ? "ByReset" : "ByFin");
+    [](const auto& info) {
+      return std::string(std::get<0>(info.param).name) + (std::get<1>(info.param) ? "ByReset" : "ByFin");
     });
 
 TEST_P(DisconnectState, NothingMoreIsForwarded) {
@@ -245,7 +246,7 @@
 class MassDisconnect : public testing::TestWithParam<bool> {};
 
 INSTANTIATE_TEST_SUITE_P(By, MassDisconnect, testing::Bool(),
-                         [](const auto& with) { return std::string(with.param ? "Reset" : "Fin"); });
+                         [](const auto& info) { return std::string(info.param ? "Reset" : "Fin"); });
 
 TEST_P(MassDisconnect, NothingMoreIsForwarded) {
   rlimit limit{};
--- a/tests/node/connection_admission_test.cpp
+++ b/tests/node/connection_admission_test.cpp
@@ -87,7 +87,7 @@
 class IdleConnections : public testing::TestWithParam<const char*> {};
 
 INSTANTIATE_TEST_SUITE_P(Mode, IdleConnections, testing::Values("subscribe", "automatic"),
-                         [](const auto& with) { return std::string(with.param); });
+                         [](const auto& info) { return std::string(info.param); });
 
 // Idle clients that use up the descriptors while discovery is down must not keep the node from serving active
 // clients and admin commands, from finishing requests in flight, from opening the next watch, or from
