--- a/tests/node/admin_harness.h
+++ b/tests/node/admin_harness.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the tests of the admin server share: a configuration with one, and its statistics.
+/// Helpers for tests that use the admin server: a configuration that has one, and access to the metrics.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 inline NodeConfig with_admin_server() { return {.admin = "127.0.0.1:0"}; }
 
-/// All metrics, as the node states them.
+/// All metrics, as the node replies to STATS. Adds a test failure if the reply is malformed.
 inline rapidjson::Document metrics_of(const NodeProcess& program) {
   const std::string text = program.admin_command("STATS");
   EXPECT_TRUE(text.size() > 5 && text.substr(text.size() - 5) == "\nEND\n") << text;
@@ -24,13 +24,13 @@
   return metrics;
 }
 
-/// One metric that is a number; -1 where there are no metrics.
+/// The value of a numeric metric; -1 if the reply to STATS is malformed.
 inline int metric(const NodeProcess& program, const char* name) {
   const rapidjson::Document metrics = metrics_of(program);
   return metrics.IsObject() ? metrics[name].GetInt() : -1;
 }
 
-/// One metric of a class of requests; -1 where there are no metrics.
+/// The value of a metric for one request class; -1 if the reply to STATS is malformed.
 inline int count_by_class(const NodeProcess& program, const char* name, const char* request_class) {
   const rapidjson::Document metrics = metrics_of(program);
   return metrics.IsObject() ? metrics[name][request_class].GetInt() : -1;
--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The admin server: its commands, the metrics, and servers that are administratively disabled.
+/// The admin server: its commands, the metrics, and disabled servers.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -22,8 +22,9 @@
   EXPECT_TRUE(eventually([&] { return program.admin_command("READY") == "YES\n"; }));
 }
 
-// A new process must not wait for ever where discovery is silent but a list is known.
-TEST(AdminServer, IsReadyWithAKnownListWhileDiscoveryIsSilent) {
+// A new process must not wait indefinitely for a silent discovery agent if its configuration has an initial
+// endpoint list.
+TEST(AdminServer, IsReadyWithAnInitialEndpointListWhileDiscoveryIsSilent) {
   const OneServerDeployment deployment(always_reply(200, "ok"), with_admin_server());
   EXPECT_TRUE(eventually([&] { return deployment.program->admin_command("READY") == "YES\n"; }));
 }
@@ -37,37 +38,37 @@
         std::string(5000, 'x')}) {
     EXPECT_EQ(deployment.program->admin_command(line).substr(0, 3), "NO ") << line.substr(0, 20);
   }
-  EXPECT_EQ(deployment.program->admin_command("DISABLE s0\r"), "YES\n")
-      << "a line may end as on other systems";
+  EXPECT_EQ(deployment.program->admin_command("DISABLE s0\r"), "YES\n") << "a line may end in CR LF";
   EXPECT_EQ(deployment.answer_to({.id = "after"}).substr(9, 3), "503");
 }
 
 TEST(AdminServer, TruncatedCommandIsRejectedAndSilentConnectionIsClosed) {
   const OneServerDeployment deployment(always_reply(200, "ok"), with_admin_server());
   const int port = deployment.program->admin_port();
-  Connection half = Connection::to(port);
+  Connection truncated = Connection::to(port);
   Connection silent = Connection::to(port);
-  Connection closing = Connection::to(port);
-  half.write("STA");
-  closing.write("DISABLE s0");
-  ::shutdown(closing.fd(), SHUT_WR);
-  EXPECT_EQ(closing.read_to_end().substr(0, 3), "NO ") << "a line that was cut off is no command";
-  EXPECT_EQ(half.read_to_end().substr(0, 3), "NO ");
+  Connection half_closed = Connection::to(port);
+  truncated.write("STA");
+  half_closed.write("DISABLE s0");
+  ::shutdown(half_closed.fd(), SHUT_WR);
+  EXPECT_EQ(half_closed.read_to_end().substr(0, 3), "NO ")
+      << "a command without a line end must not be executed";
+  EXPECT_EQ(truncated.read_to_end().substr(0, 3), "NO ");
   EXPECT_EQ(silent.read_to_end(), "");
   EXPECT_EQ(deployment.answer_to({.id = "after"}).substr(9, 3), "200");
 }
 
-// Operators have to get through to a node whose descriptors are all in use, here by clients, there by other
-// connections to the admin server that say nothing.
-TEST(AdminServer, CommandsGetThroughWhenDescriptorsAreInUse) {
+// The admin server must stay reachable when all descriptors are in use, both by clients and by silent
+// connections to the admin server itself.
+TEST(AdminServer, CommandsAreExecutedWhileAllDescriptorsAreInUse) {
   FakeServer server(always_reply(200, "ok"));
   NodeConfig config = with_admin_server();
   config.sockets = 128;
   const Deployment deployment({&server}, config, {.descriptor_limit = 128});
-  std::vector<Connection> open;
-  open.reserve(300);
-  for (int i = 0; i < 200; ++i) open.push_back(deployment.client());
-  for (int i = 0; i < 100; ++i) open.push_back(Connection::to(deployment.program->admin_port()));
+  std::vector<Connection> connections;
+  connections.reserve(300);
+  for (int i = 0; i < 200; ++i) connections.push_back(deployment.client());
+  for (int i = 0; i < 100; ++i) connections.push_back(Connection::to(deployment.program->admin_port()));
   for (int i = 0; i < 20; ++i) {
     EXPECT_EQ(metric(*deployment.program, "hosts_listed"), 1);
     EXPECT_EQ(deployment.program->admin_command("ENABLE s0"), "YES\n");
@@ -77,12 +78,12 @@
 TEST(AdminServer, AddressInTheEnvironmentTakesPrecedence) {
   FakeServer server(always_reply(200, "ok"));
   NodeConfig config = config_knowing(server.address());
-  config.admin = "127.0.0.1:1";  // can't be listened on without rights; the process would not start
+  config.admin = "127.0.0.1:1";  // listening on this port needs privileges, so the process would not start
   const NodeProcess program(config.text(), {.environment = {{"RELAY_OPS", "127.0.0.1:0"}}});
   EXPECT_EQ(program.admin_command("ENABLE s0"), "YES\n");
 }
 
-TEST(AdminServer, InvalidAddressEndsTheStart) {
+TEST(AdminServer, InvalidAddressFailsTheStart) {
   NodeConfig config;
   config.admin = "nowhere";
   NodeProcess program(config.text(), {.wait_for_start = false});
@@ -110,19 +111,19 @@
   EXPECT_EQ(metric(*deployment.program, "backend_calls"), 3);
   status = 500;
   EXPECT_EQ(status_of_request("b1", "close", "POST"),
-            502);  // non-idempotent, and it may have run: failed after one attempt
+            502);  // non-idempotent and possibly processed: failed after one attempt
   EXPECT_EQ(metric(*deployment.program, "backend_calls"), 4);
   status = 503;
   EXPECT_EQ(status_of_request("c1", "close", "POST"), 503);
   const int attempts = static_cast<int>(server.requests().size());
   client.write(
-      RequestBuilder{.request_class = "unknown"}.text());  // no class of the settings: it is not counted
+      RequestBuilder{.request_class = "unknown"}.text());  // no such class in the settings: it is not counted
   EXPECT_EQ(status_of(client.read_message()), 400);
   EXPECT_TRUE(eventually([&] { return metric(*deployment.program, "inflight") == 0; }));
   const rapidjson::Document all = metrics_of(*deployment.program);
   EXPECT_EQ(all["success"]["close"].GetInt(), 2);
   EXPECT_EQ(all["success"]["look"].GetInt(), 1);
-  EXPECT_EQ(all["success"]["mark"].GetInt(), 0) << "each class shows, whether it is used or not";
+  EXPECT_EQ(all["success"]["mark"].GetInt(), 0) << "every class is listed, even without requests";
   EXPECT_EQ(all["failure"]["close"].GetInt(), 1);
   EXPECT_EQ(all["busy"]["close"].GetInt(), 1);
   EXPECT_EQ(all["busy"]["look"].GetInt(), 0);
@@ -164,12 +165,12 @@
   Deployment deployment({&one, &two}, with_admin_server());
   EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
   EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
-  const auto before = one.requests().size();
+  const auto requests_before = one.requests().size();
   deployment.discovery.send_list(
       endpoint_list(8, true, endpoint("s0", one.address()) + "," + endpoint("s1", two.address())));
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(body_of(deployment.answer_to({.id = "out" + std::to_string(i)})), "two");
-  EXPECT_EQ(one.requests().size(), before);
+  EXPECT_EQ(one.requests().size(), requests_before);
   EXPECT_EQ(metric(*deployment.program, "hosts_listed"), 2);
   EXPECT_EQ(metric(*deployment.program, "hosts_down"), 1);
   EXPECT_EQ(deployment.program->admin_command("DISABLE s1"), "YES\n");
@@ -181,7 +182,7 @@
   EXPECT_EQ(body_of(deployment.answer_to({.id = "back"})), "one");
 }
 
-// A server that is restarted while it is disabled must not be met on connections from before.
+// A server may be restarted while it is disabled, so connections from before must not be reused.
 TEST(DisabledServer, IdleConnectionsAreClosed) {
   OneServerDeployment deployment(always_reply(200, "ok"), with_admin_server());
   EXPECT_EQ(body_of(deployment.answer_to({.id = "r1"})), "ok");
--- a/tests/node/attempt_outcome_test.cpp
+++ b/tests/node/attempt_outcome_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// How the end of an attempt is judged: what never ran may be retried, also for a non-idempotent class; what
-/// may have run fails the request.
+/// How the outcome of an attempt decides on a retry. A request that its server has certainly not processed
+/// may be retried even if its class is non-idempotent; one that may have been processed fails.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -11,94 +11,97 @@
 namespace {
 
 TEST(AttemptOutcome, RejectionMarkedAsNotProcessedIsRetried) {
-  FakeServer full(always_reply(503, "", "X-Not-Processed: 1\r\n"));
-  Deployment deployment({&full});
+  FakeServer server(always_reply(503, "", "X-Not-Processed: 1\r\n"));
+  Deployment deployment({&server});
   Connection client = deployment.client();
   const std::string answer = exchange(client, {});
   EXPECT_EQ(status_of(answer), 503);
   EXPECT_FALSE(field_of(answer, "Retry-After").empty());
-  EXPECT_EQ(full.requests().size(), 3U) << "as many attempts as the settings allow";
+  EXPECT_EQ(server.requests().size(), 3U) << "the settings allow three attempts";
 }
 
-// A non-idempotent request fails after one attempt that may have run.
-void expect_failed_once(const FakeServer::Reply& reply) {
+// Expects that a non-idempotent request fails after one attempt, because the server may have processed it.
+void expect_failure_without_retry(const FakeServer::Reply& reply) {
   OneServerDeployment deployment(reply);
   Connection client = deployment.client();
   const std::string answer = exchange(client, {});
   EXPECT_EQ(status_of(answer), 502) << answer;
   EXPECT_EQ(deployment.server.requests().size(), 1U)
-      << "a non-idempotent request that may have run is not retried";
+      << "a non-idempotent request that may have been processed must not be retried";
   EXPECT_TRUE(deployment.program->is_running());
 }
 
-TEST(AttemptOutcome, ServerErrorMayHaveRun) { expect_failed_once(always_reply(500, "no")); }
+TEST(AttemptOutcome, ServerErrorFailsWithoutRetry) { expect_failure_without_retry(always_reply(500, "no")); }
 
-TEST(AttemptOutcome, UnavailableWithoutTheMarkMayHaveRun) { expect_failed_once(always_reply(503, "no")); }
+TEST(AttemptOutcome, Status503WithoutNotProcessedHeaderFailsWithoutRetry) {
+  expect_failure_without_retry(always_reply(503, "no"));
+}
 
-TEST(AttemptOutcome, UnknownValueOfTheMarkIsIgnored) {
-  expect_failed_once(always_reply(504, "no", "X-Not-Processed: 0\r\n"));
+TEST(AttemptOutcome, UnknownValueOfNotProcessedHeaderIsIgnored) {
+  expect_failure_without_retry(always_reply(504, "no", "X-Not-Processed: 0\r\n"));
 }
 
-TEST(AttemptOutcome, MarkOnAnotherStatusIsIgnored) {
-  expect_failed_once(always_reply(404, "no", "X-Not-Processed: 1\r\n"));
+TEST(AttemptOutcome, NotProcessedHeaderOnAnotherStatusIsIgnored) {
+  expect_failure_without_retry(always_reply(404, "no", "X-Not-Processed: 1\r\n"));
 }
 
-TEST(AttemptOutcome, CloseWithoutResponseMayHaveRun) {
-  expect_failed_once([](Connection&, const std::string&) { return false; });
+TEST(AttemptOutcome, CloseWithoutResponseFailsWithoutRetry) {
+  expect_failure_without_retry([](Connection&, const std::string&) { return false; });
 }
 
-TEST(AttemptOutcome, ResetWithoutResponseMayHaveRun) {
-  expect_failed_once([](Connection& connection, const std::string&) {
+TEST(AttemptOutcome, ResetWithoutResponseFailsWithoutRetry) {
+  expect_failure_without_retry([](Connection& connection, const std::string&) {
     connection.close_with_reset();
     return false;
   });
 }
 
-TEST(AttemptOutcome, TruncatedResponseMayHaveRun) {
-  expect_failed_once([](Connection& connection, const std::string&) {
+TEST(AttemptOutcome, TruncatedResponseFailsWithoutRetry) {
+  expect_failure_without_retry([](Connection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
     return false;
   });
 }
 
-TEST(AttemptOutcome, ResponseWithoutLengthOrCloseIsTruncated) {
-  expect_failed_once([](Connection& connection, const std::string&) {
+TEST(AttemptOutcome, ResponseWithoutLengthOrCloseFailsWithoutRetry) {
+  expect_failure_without_retry([](Connection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\n\r\nperhaps half");
     return false;
   });
 }
 
-TEST(AttemptOutcome, MalformedResponseMayHaveRun) {
-  expect_failed_once([](Connection& connection, const std::string&) {
+TEST(AttemptOutcome, MalformedResponseFailsWithoutRetry) {
+  expect_failure_without_retry([](Connection& connection, const std::string&) {
     return connection.write(std::string("\0\x7f~?\r\n\r\n", 8));
   });
 }
 
-TEST(AttemptOutcome, EndlessResponseHeadMayHaveRun) {
-  expect_failed_once([](Connection& connection, const std::string&) {
+TEST(AttemptOutcome, EndlessResponseHeadFailsWithoutRetry) {
+  expect_failure_without_retry([](Connection& connection, const std::string&) {
     return connection.write("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * kKibibyte, 'x'));
   });
 }
 
-TEST(AttemptOutcome, OversizedResponseBodyMayHaveRun) {
-  expect_failed_once([](Connection& connection, const std::string&) {
+TEST(AttemptOutcome, OversizedResponseBodyFailsWithoutRetry) {
+  expect_failure_without_retry([](Connection& connection, const std::string&) {
     return connection.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
   });
 }
 
-// The attempt ends when the head has come, not with the client timeout: the server waits for that.
-TEST(AttemptOutcome, OversizedResponseBodyEndsTheAttemptAtItsHead) {
+// The attempt must end as soon as the response head has arrived, not at the client timeout. The server waits
+// until the node closes the connection.
+TEST(AttemptOutcome, OversizedResponseBodyEndsTheAttemptOnceItsHeadArrives) {
   std::atomic<bool> connection_open = true;
   OneServerDeployment deployment([&](Connection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
-    connection.receive_more();  // true if something came; false at the node's close
+    connection.receive_more();  // returns false once the node closes the connection
     connection_open = false;
     return false;
   });
   Connection client = deployment.client();
   const auto start = std::chrono::steady_clock::now();
   EXPECT_EQ(status_of(exchange(client, {})), 502);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client waits 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
   EXPECT_TRUE(eventually([&] { return !connection_open; }));
 }
 
@@ -128,14 +131,14 @@
   }
 }
 
-// A response that stops half-way must not hold its request until the client timeout, as another attempt could
-// still serve it.
-void expect_retried_after(const std::function<void(Connection&)>& begin_answer) {
-  std::atomic<int> asked = 0;
+// A response that stalls must not hold up its request until the client timeout, because a retry could still
+// serve the request.
+void expect_retry_after(const std::function<void(Connection&)>& send_partial_response) {
+  std::atomic<int> requests = 0;
   OneServerDeployment deployment([&](Connection& connection, const std::string&) {
-    if (asked++ > 0) return connection.write(http_response(200, "complete"));
-    begin_answer(connection);
-    while (connection.receive_more()) {  // up to the node's close
+    if (requests++ > 0) return connection.write(http_response(200, "complete"));
+    send_partial_response(connection);
+    while (connection.receive_more()) {  // until the node closes the connection
     }
     return false;
   });
@@ -148,22 +151,22 @@
 }
 
 TEST(AttemptOutcome, ResponseThatStallsInItsHeadIsRetried) {
-  expect_retried_after([](Connection& connection) { connection.write("HTTP/1.1 200 OK\r\nContent-L"); });
+  expect_retry_after([](Connection& connection) { connection.write("HTTP/1.1 200 OK\r\nContent-L"); });
 }
 
 TEST(AttemptOutcome, ResponseThatStallsInItsBodyIsRetried) {
-  expect_retried_after(
+  expect_retry_after(
       [](Connection& connection) { connection.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf"); });
 }
 
 TEST(AttemptOutcome, ResponseThatTricklesIsRetried) {
-  expect_retried_after([](Connection& connection) {
+  expect_retry_after([](Connection& connection) {
     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n");
     for (int i = 0; i < 1000 && connection.write("x"); ++i) std::this_thread::sleep_for(20ms);
   });
 }
 
-TEST(AttemptOutcome, BytesBehindAResponseDoNotAnswerTheNextRequest) {
+TEST(AttemptOutcome, BytesAfterAResponseAreNotUsedForTheNextRequest) {
   OneServerDeployment deployment([](Connection& connection, const std::string&) {
     return connection.write(http_response(200, "right") + http_response(200, "wrong"));
   });
@@ -173,16 +176,15 @@
   }
 }
 
-TEST(AttemptOutcome, RefusedConnectIsRejected) {
+TEST(AttemptOutcome, RefusedConnectIsRejectedInsteadOfFailed) {
   FakeDiscovery discovery;
   NodeProcess program(
       config_knowing("127.0.0.1:" + std::to_string(unused_port()), discovery.address()).text());
   Connection client = Connection::to(program.port());
-  EXPECT_EQ(status_of(exchange(client, {})), 503)
-      << "rejected, not failed: a non-idempotent request that never ran";
+  EXPECT_EQ(status_of(exchange(client, {})), 503) << "the server never received the non-idempotent request";
 }
 
-TEST(AttemptOutcome, TimedOutAttemptMayHaveRunAndItsConnectionIsClosed) {
+TEST(AttemptOutcome, TimedOutAttemptFailsWithoutRetryAndItsConnectionIsClosed) {
   OneServerDeployment deployment(never_reply());
   Connection client = deployment.client();
   EXPECT_EQ(status_of(exchange(client, {.timeout_ms = "300"})), 502);
--- a/tests/node/body_pipe_test.cpp
+++ b/tests/node/body_pipe_test.cpp
@@ -1,4 +1,5 @@
-// A body between two connections, without the connections.
+/// @file
+/// The body pipe by itself, without connections.
 #include "http/body_pipe.h"
 
 #include <gtest/gtest.h>
@@ -13,11 +14,12 @@
   BodyPipeTest() { budget.set_limit(std::size_t{1} << 20); }
   void write(const std::string& bytes) { pipe.write(bytes.data(), bytes.size()); }
   void fill() { write(std::string(BodyPipe::kCapacity, 'x')); }
-  BodyPipe::Callback count() {
+  BodyPipe::Callback counting_callback() {
     return [this] { ++calls; };
   }
-  /// Runs what was posted.
-  int calls_after_a_turn() {
+  /// Runs the posted handlers.
+  /// @return the number of callbacks so far
+  int calls_after_poll() {
     io.restart();
     io.poll();
     return calls;
@@ -29,14 +31,14 @@
   int calls = 0;
 };
 
-TEST_F(BodyPipeTest, BytesWrittenAreTakenOnceInTheirOrder) {
+TEST_F(BodyPipeTest, WrittenBytesAreTakenOnceAndInOrder) {
   write("ab");
   write("cd");
   EXPECT_EQ(pipe.take(), "abcd");
   EXPECT_EQ(pipe.take(), "");
 }
 
-TEST_F(BodyPipeTest, FinishedPipeIsCompleteOnlyWhenAllIsTaken) {
+TEST_F(BodyPipeTest, FinishedPipeIsCompleteOnlyOnceAllBytesAreTaken) {
   write("ab");
   pipe.finish();
   EXPECT_FALSE(pipe.is_complete());
@@ -44,38 +46,38 @@
   EXPECT_TRUE(pipe.is_complete());
 }
 
-TEST_F(BodyPipeTest, WaitingReaderIsCalledOnceWhenBytesComeAndNotFromWithinTheWrite) {
-  pipe.when_readable(count());
+TEST_F(BodyPipeTest, WaitingReaderIsCalledOnceAfterWritesAndNotDuringThem) {
+  pipe.when_readable(counting_callback());
   write("a");
   write("b");
   EXPECT_EQ(calls, 0);
-  EXPECT_EQ(calls_after_a_turn(), 1);
+  EXPECT_EQ(calls_after_poll(), 1);
 }
 
 TEST_F(BodyPipeTest, WaitingReaderIsCalledWhenTheWriterAborts) {
-  pipe.when_readable(count());
+  pipe.when_readable(counting_callback());
   pipe.abort();
   EXPECT_TRUE(pipe.is_aborted());
   EXPECT_FALSE(pipe.is_complete());
-  EXPECT_EQ(calls_after_a_turn(), 1);
+  EXPECT_EQ(calls_after_poll(), 1);
 }
 
 TEST_F(BodyPipeTest, FullPipeCallsItsWriterWhenTheReaderTakes) {
   fill();
   EXPECT_FALSE(pipe.is_writable());
-  pipe.when_writable(count());
-  EXPECT_EQ(calls_after_a_turn(), 0);
+  pipe.when_writable(counting_callback());
+  EXPECT_EQ(calls_after_poll(), 0);
   pipe.take();
-  EXPECT_EQ(calls_after_a_turn(), 1);
+  EXPECT_EQ(calls_after_poll(), 1);
 }
 
 TEST_F(BodyPipeTest, WaitingWriterIsCalledWhenTheReaderCloses) {
   fill();
-  pipe.when_writable(count());
-  pipe.when_reader_closed(count());
+  pipe.when_writable(counting_callback());
+  pipe.when_reader_closed(counting_callback());
   pipe.close_reader();
   EXPECT_TRUE(pipe.is_reader_closed());
-  EXPECT_EQ(calls_after_a_turn(), 2);
+  EXPECT_EQ(calls_after_poll(), 2);
 }
 
 TEST_F(BodyPipeTest, WriteAfterTheReaderClosedIsDropped) {
@@ -92,20 +94,20 @@
   EXPECT_TRUE(pipe.is_complete());
 }
 
-TEST_F(BodyPipeTest, ReaderThatClosesAfterTheFinishLeavesTheBodyComplete) {
+TEST_F(BodyPipeTest, ReaderThatClosesAfterFinishLeavesTheBodyComplete) {
   pipe.finish();
   pipe.close_reader();
   EXPECT_FALSE(pipe.is_reader_closed());
   EXPECT_TRUE(pipe.is_complete());
 }
 
-TEST_F(BodyPipeTest, WriterThatFinishedIsNotCalledAnyMore) {
+TEST_F(BodyPipeTest, FinishedWriterIsNotCalledAnyMore) {
   fill();
-  pipe.when_writable(count());
-  pipe.when_reader_closed(count());
+  pipe.when_writable(counting_callback());
+  pipe.when_reader_closed(counting_callback());
   pipe.finish();
   pipe.take();
-  EXPECT_EQ(calls_after_a_turn(), 0);
+  EXPECT_EQ(calls_after_poll(), 0);
 }
 
 TEST_F(BodyPipeTest, BytesInThePipeAreReservedUntilTheyAreTakenOrDropped) {
@@ -118,7 +120,7 @@
   EXPECT_EQ(budget.used(), 0U);
 }
 
-TEST_F(BodyPipeTest, PipeCountsAsReadOnlyOnceBytesWereTaken) {
+TEST_F(BodyPipeTest, PipeHasBeenReadOnlyOnceBytesAreTaken) {
   pipe.take();
   EXPECT_FALSE(pipe.has_been_read());
   write("a");
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -1,4 +1,5 @@
-/// The configuration file's errors, and how its limits are divided.
+/// @file
+/// The configuration file: defaults and errors; and the division of the descriptor limit.
 #include "config.h"
 
 #include <gtest/gtest.h>
@@ -24,11 +25,11 @@
 
  protected:
   void write(std::string_view text) const { std::ofstream(path) << text; }
-  void write_with(const std::string& what, const std::string& instead) const {
+  void write_with(const std::string& replaced, const std::string& replacement) const {
     std::string text(kConfig);
-    write(text.replace(text.find(what), what.size(), instead));
+    write(text.replace(text.find(replaced), replaced.size(), replacement));
   }
-  // "field|reason|text" of the error.
+  // "field|reason|message" of the ConfigError that `read` throws; "none" if it throws none.
   template <typename Read>
   static std::string error_of(const Read& read) {
     try {
@@ -57,7 +58,7 @@
   EXPECT_FALSE(config.admin_address);
 }
 
-TEST_F(ConfigFile, FieldWrong_Read_ErrorNamesItAndTheReason) {
+TEST_F(ConfigFile, InvalidField_Read_ErrorNamesFieldAndReason) {
   EXPECT_EQ(error(), "RELAY_CONFIG|cannot read " + path + "|RELAY_CONFIG: cannot read " + path);
   write_with("\"ff\"", "\"fx\"");
   EXPECT_EQ(error(), "seed|is not a hexadecimal number|field 'seed' is not a hexadecimal number");
@@ -69,11 +70,11 @@
   EXPECT_EQ(error(), "known|field 'index' is missing|known: field 'index' is missing");
 }
 
-TEST_F(ConfigFile, NextFileLacksAKey_Read_ErrorNamesItsPath) {
+TEST_F(ConfigFile, KeyMissingInNextFile_Read_ErrorNamesItsPath) {
   write(kConfig);
   const Config in_force = read_config(path, Clock());
   write_with("\"maxOpen\":5", "");
-  EXPECT_EQ(error(), "none") << "a first file may lack it";
+  EXPECT_EQ(error(), "none") << "the first file may omit the key";
   EXPECT_EQ(error_of([&] { return read_next_config(path, Clock(), in_force); }),
             "settings.bounds.maxOpen|is missing|RELAY_CONFIG: field 'settings.bounds.maxOpen' is missing");
 }
@@ -84,9 +85,10 @@
   EXPECT_EQ(alone.rejected_clients, 125U);
   EXPECT_EQ(alone.upstream, 375U);
   const DescriptorBudget shared = divide_descriptors(1024, true, true);
-  const std::size_t own = 24 + 17;
-  EXPECT_LE(shared.clients + shared.rejected_clients + 2 * (shared.upstream + own), 1024U);
-  EXPECT_EQ(divide_descriptors(64, true, false).clients, own / 2) << "with hardly any, something for each";
+  const std::size_t reserved = 24 + 17;  // for the process and for the admin server
+  EXPECT_LE(shared.clients + shared.rejected_clients + 2 * (shared.upstream + reserved), 1024U);
+  EXPECT_EQ(divide_descriptors(64, true, false).clients, reserved / 2)
+      << "a very low limit still leaves some for each part";
 }
 
 }  // namespace
--- a/tests/node/connection_shutdown_race_test.cpp
+++ b/tests/node/connection_shutdown_race_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Connections and requests that cross the end of a node, and the end of a server while a connect to it is
-/// pending.
+/// Races of connections and requests with the graceful shutdown of the node, and of a pending connect with
+/// its server being disabled or drained.
 #include <gtest/gtest.h>
 
 #include "harness/held_server_deployment.h"
@@ -15,8 +15,8 @@
   return std::string(with.param ? "IsDisabled" : "IsDraining");
 });
 
-// A server that is draining or disabled must not get new work on a connection that was asked for before.
-TEST_P(PendingConnect, ToALeavingServerCarriesNoRequest) {
+// A server that is draining or disabled must not get a request on a connection that was requested before.
+TEST_P(PendingConnect, CarriesNoRequestOnceEstablished) {
   HeldServerDeployment node;
   FakeServer other(always_reply(200, "other"));
   node.server.fill_queue();
@@ -39,25 +39,25 @@
 INSTANTIATE_TEST_SUITE_P(ThatIs, BodyInProgress, testing::Bool(),
                          [](const auto& with) { return std::string(with.param ? "Streamed" : "Buffered"); });
 
-// The time of a request begins with its last byte: where that is after SIGTERM, the request must not outlast
-// the kill.
+// The client timeout starts at the last byte of the request. If that byte arrives after SIGTERM, the request
+// must still be answered before the process is killed.
 TEST_P(BodyInProgress, AtSigtermIsAnsweredBeforeTheKill) {
   HeldServerDeployment node;
   Connection client = node.client();
   Connection probe = node.client();
   const std::string text =
       RequestBuilder{.body = std::string(GetParam() ? 1200 * kKibibyte : 100 * kKibibyte, 'b')}.text();
-  std::size_t at = text.size() - 32 * kKibibyte;
-  client.write(text.substr(0, at));
+  std::size_t sent = text.size() - 32 * kKibibyte;
+  client.write(text.substr(0, sent));
   Connection server{FileDescriptor()};
   if (GetParam()) server = Connection(node.server.accept());
   const auto start = std::chrono::steady_clock::now();
   node.program->signal(SIGTERM);
   ASSERT_TRUE(eventually([&] {
-    client.write(text.substr(at++, 1));  // it may not pause
+    client.write(text.substr(sent++, 1));  // the body must not stall
     return health_status(probe) == 503;
   }));
-  client.write(text.substr(at));
+  client.write(text.substr(sent));
   if (!GetParam()) server = Connection(node.server.accept());
   for (std::size_t received = 0; received < text.size() - kKibibyte;) {
     const std::string piece = server.read_some();
@@ -65,12 +65,12 @@
     received += piece.size();
   }
   EXPECT_EQ(status_of(client.read_message()), 502);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client would have waited 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
   EXPECT_EQ(node.program->exit_status(), 0);
 }
 
-// Requests that were read must not be dropped with the connection, in the pause after an error: one that has
-// more of them goes on until a response says that the connection closes.
+// Requests that the node has read must not be dropped with the connection during the pause after an error
+// response: the node serves pipelined requests until a response announces the close of the connection.
 TEST(GracefulShutdown, RequestPipelinedBehindAnErrorIsAnswered) {
   OneServerDeployment deployment(always_reply(200, "ok"), {.classes = short_classes()});
   std::string requests;
@@ -92,7 +92,7 @@
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// A large response in progress, of which the client has a part.
+// A large response that the client has received in part; the server sends the rest once the gate is open.
 struct StreamedResponse {
   explicit StreamedResponse(std::string head) {
     server = std::make_unique<FakeServer>(
@@ -117,7 +117,7 @@
   std::string received;
 };
 
-// The connection of a streamed response does not stay for as long as one that is idle.
+// After its response, the connection is closed sooner than an idle one would be.
 TEST(GracefulShutdown, StreamedResponseIsCompleted) {
   StreamedResponse response("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kMebibyte) + "\r\n\r\n");
   NodeConfig config = response.deployment->config;
@@ -131,12 +131,12 @@
   response.gate.open();
   response.received += response.client.read_to_end();
   EXPECT_EQ(body_of(response.received).size(), kMebibyte);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 7s) << "a connection that is idle may stay for 10 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 7s) << "an idle connection may stay open for 10 s";
   EXPECT_EQ(response.deployment->program->exit_status(), 0);
 }
 
-// A response that the kill cuts off must not pass for a complete one.
-TEST(GracefulShutdown, StreamedResponseCutByAKillIsNotComplete) {
+// A response that SIGKILL truncates must not look complete to the client.
+TEST(GracefulShutdown, StreamedResponseTruncatedByAKillIsNotComplete) {
   StreamedResponse response("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
   response.deployment->program->signal(SIGTERM);
   response.deployment->program->signal(SIGKILL);
--- a/tests/node/disabled_servers_test.cpp
+++ b/tests/node/disabled_servers_test.cpp
@@ -1,5 +1,6 @@
-/// The file of disabled servers, which a process of this build shares with one of an earlier build in a
-/// takeover. The earlier build is the one of commit a43169a.
+/// @file
+/// The file of disabled servers. In a process takeover, a process of this build shares the file with one of
+/// an earlier build; these tests use the format of commit a43169a.
 #include "takeover/disabled_servers.h"
 
 #include <gtest/gtest.h>
@@ -16,22 +17,22 @@
 
 using Servers = std::set<std::string>;
 
-// As a process of a43169a wrote it after DISABLE of three servers, byte for byte.
+// The file that a process of a43169a wrote after DISABLE of three servers, byte for byte.
 constexpr const char* kFileOfA43169a = "{\"disabled\":[\"b\\\"ill\",\"s0\",\"z\xc3\xb6\"]}\n";
-const Servers servers_of_that_file{"b\"ill", "s0", "z\xc3\xb6"};
+const Servers servers_in_that_file{"b\"ill", "s0", "z\xc3\xb6"};
 
-// Bans::read of a43169a on the bytes of the file; nothing where it left the file aside.
+// Does what Bans::read of a43169a did with the bytes of the file; nullopt if it ignored the file.
 std::optional<Servers> read_as_a43169a(const std::string& text) {
-  rapidjson::Document in;
-  in.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (in.HasParseError() || !in.IsObject()) return std::nullopt;
-  if (!in.HasMember("disabled") || !in["disabled"].IsArray()) return std::nullopt;
-  Servers out;
-  for (const json::Value& name : in["disabled"].GetArray()) {
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (document.HasParseError() || !document.IsObject()) return std::nullopt;
+  if (!document.HasMember("disabled") || !document["disabled"].IsArray()) return std::nullopt;
+  Servers servers;
+  for (const json::Value& name : document["disabled"].GetArray()) {
     if (!name.IsString()) return std::nullopt;
-    out.emplace(name.GetString(), name.GetStringLength());
+    servers.emplace(name.GetString(), name.GetStringLength());
   }
-  return out;
+  return servers;
 }
 
 class DisabledServersFile : public testing::Test {
@@ -55,15 +56,15 @@
 TEST_F(DisabledServersFile, FileOfEarlierBuild_Loaded_ItsServersAreDisabled) {
   std::ofstream(path) << kFileOfA43169a;
   servers.load();
-  EXPECT_EQ(servers.servers(), servers_of_that_file);
-  EXPECT_EQ(notified, servers_of_that_file);
+  EXPECT_EQ(servers.servers(), servers_in_that_file);
+  EXPECT_EQ(notified, servers_in_that_file);
 }
 
 TEST_F(DisabledServersFile, ServersDisabled_Written_EarlierBuildReadsThem) {
-  for (const std::string& name : servers_of_that_file) servers.set_disabled(name, true);
-  EXPECT_EQ(read_as_a43169a(read()), servers_of_that_file);
-  EXPECT_EQ(read(), kFileOfA43169a) << "to the byte";
-  EXPECT_TRUE(std::filesystem::exists(path + ".lock")) << "the lock that the earlier build takes";
+  for (const std::string& name : servers_in_that_file) servers.set_disabled(name, true);
+  EXPECT_EQ(read_as_a43169a(read()), servers_in_that_file);
+  EXPECT_EQ(read(), kFileOfA43169a) << "byte for byte";
+  EXPECT_TRUE(std::filesystem::exists(path + ".lock")) << "the earlier build locks this file";
   servers.set_disabled("s0", false);
   EXPECT_EQ(read_as_a43169a(read()), (Servers{"b\"ill", "z\xc3\xb6"}));
 }
@@ -72,13 +73,13 @@
   servers.load();
   std::ofstream(path) << kFileOfA43169a;
   servers.set_disabled("s1", true);
-  Servers all = servers_of_that_file;
+  Servers all = servers_in_that_file;
   all.insert("s1");
   EXPECT_EQ(servers.servers(), all);
   EXPECT_EQ(read_as_a43169a(read()), all);
 }
 
-TEST_F(DisabledServersFile, FileMalformed_Loaded_ServersStay) {
+TEST_F(DisabledServersFile, FileMalformed_Loaded_DisabledServersStay) {
   servers.set_disabled("s0", true);
   for (const char* text : {"", "{", "[1]", R"({"disabled":[7]})", R"({"disabled":"s1"})"}) {
     std::ofstream(path) << text;
--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// How a node follows discovery: which list it asks for, when it gives up a watch, and how it takes broken
-/// ones.
+/// How a node watches the endpoint list: from which version it resumes, when a watch times out, and how it
+/// handles malformed lists.
 #include <gtest/gtest.h>
 
 #include "discovery/rewatch_backoff.h"
@@ -9,17 +9,17 @@
 namespace nettleyoke::node {
 namespace {
 
-TEST(DiscoveryWatch, ResumesAtTheKnownVersionAfterSplitAndJoinedEvents) {
+TEST(DiscoveryWatch, ResumesFromTheLastVersionAfterSplitAndJoinedEvents) {
   FakeServer old_server(always_reply(200, "old"));
   FakeServer new_server(always_reply(200, "new"));
   Deployment deployment({&old_server});
   ASSERT_TRUE(eventually([&] { return !deployment.discovery.calls().empty(); }));
   EXPECT_NE(deployment.discovery.calls()[0].find("watch=1&after=7 "), std::string::npos);
-  const std::string lines = endpoint_list(8, false, endpoint("s0", old_server.address(), "draining")) +
-                            "\n\n" + endpoint_list(9, false, endpoint("s1", new_server.address())) + "\n";
-  const std::size_t cut = lines.size() / 3;
-  deployment.discovery.send_raw(http_chunk(lines.substr(0, cut)));
-  deployment.discovery.send_raw(http_chunk(lines.substr(cut)));
+  const std::string events = endpoint_list(8, false, endpoint("s0", old_server.address(), "draining")) +
+                             "\n\n" + endpoint_list(9, false, endpoint("s1", new_server.address())) + "\n";
+  const std::size_t cut = events.size() / 3;
+  deployment.discovery.send_raw(http_chunk(events.substr(0, cut)));
+  deployment.discovery.send_raw(http_chunk(events.substr(cut)));
   EXPECT_TRUE(deployment.eventually_answers("new"));
   deployment.discovery.end_watch();
   ASSERT_TRUE(eventually([&] { return deployment.discovery.calls().size() >= 2; }));
@@ -35,7 +35,7 @@
   NodeProcess program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() == 1; }));
   discovery.respond_with(watch_response(endpoint_list(3, true, endpoint("s0", server.address()))));
-  // The fake may not have recorded the call as the current one yet.
+  // The fake may not have recorded the watch as the open one yet, so end_watch() is repeated.
   EXPECT_TRUE(eventually([&] {
     discovery.end_watch();
     return discovery.calls().size() >= 2;
@@ -43,7 +43,7 @@
   EXPECT_TRUE(eventually([&] { return program.health_status() == 200; }));
 }
 
-// A server that leaves and comes back is served anew; one that is draining gets nothing.
+// A removed or draining server gets no requests, and gets them again once it is listed as up.
 TEST(DiscoveryWatch, RemovedOrDrainingServerIsUsedAgainOnceListedAsUp) {
   OneServerDeployment deployment;
   int count = 0;
@@ -57,26 +57,27 @@
         endpoint_list(8, false, endpoint("s0", deployment.server.address(), state)));
     EXPECT_TRUE(eventually([&] { return status() == 503; }));
     EXPECT_TRUE(eventually([&] { return deployment.server.listener().open_connections() == 0; }))
-        << "idle connections are dropped";
+        << "idle connections are closed";
     deployment.discovery.send_list(endpoint_list(9, false, endpoint("s0", deployment.server.address())));
     EXPECT_TRUE(eventually([&] { return status() == 200; }));
   }
 }
 
-// The backoff must not outlast the grace period of a shutdown: what the agent has counts as notified all the
-// while.
+// The backoff must be shorter than the grace period of a draining server, because the agent counts a change
+// as notified even while no watch is open.
 TEST(DiscoveryWatch, BackoffStartsShortAndStaysBelowTheGracePeriod) {
   EXPECT_LE(rewatch_backoff(0, 1), 0.2);
-  EXPECT_NEAR(rewatch_backoff(1, 0.5), 2 * rewatch_backoff(0, 0.5), 1e-9) << "later than the first";
+  EXPECT_NEAR(rewatch_backoff(1, 0.5), 2 * rewatch_backoff(0, 0.5), 1e-9) << "the second backoff is longer";
   for (const int failures : {0, 1, 2, 4, 10, 1000}) {
-    EXPECT_NEAR(rewatch_backoff(failures, 1), 3 * rewatch_backoff(failures, 0), 1e-9) << "a jitter";
-    EXPECT_GE(rewatch_backoff(failures, 0), 0.05) << "no flood";
+    EXPECT_NEAR(rewatch_backoff(failures, 1), 3 * rewatch_backoff(failures, 0), 1e-9)
+        << "the jitter spreads it by a factor of three";
+    EXPECT_GE(rewatch_backoff(failures, 0), 0.05) << "nodes must not flood the agent with watches";
     EXPECT_LE(rewatch_backoff(failures, 1), 0.301);
   }
 }
 
-// What an event that stops half-way says, and what came after it, is asked for again.
-TEST(DiscoveryWatch, StalledEventIsAskedForAgainFromTheKnownVersion) {
+// The next watch requests a truncated event and all later events again.
+TEST(DiscoveryWatch, StalledEventIsRequestedAgainFromTheLastVersion) {
   FakeServer one(always_reply(200, "one"));
   FakeServer two(always_reply(200, "two"));
   Deployment deployment({&one});
@@ -90,12 +91,12 @@
       << deployment.discovery.calls()[1];
 }
 
-TEST(DiscoveryWatch, SilentWatchIsGivenUp) {
+TEST(DiscoveryWatch, SilentWatchTimesOut) {
   OneServerDeployment deployment;
   EXPECT_TRUE(eventually([&] { return deployment.discovery.calls().size() >= 2; }));
 }
 
-TEST(DiscoveryWatch, MalformedListIsLoggedOnceAndTheKnownOneStays) {
+TEST(DiscoveryWatch, MalformedListIsLoggedOnceAndThePreviousOneStays) {
   OneServerDeployment deployment;
   deployment.discovery.respond_with(kChunkedResponseHead + http_chunk("{\"index\":\n"));
   deployment.discovery.end_watch();
@@ -108,7 +109,7 @@
   EXPECT_EQ(status_of(exchange(client, {})), 200);
 }
 
-TEST(DiscoveryWatch, UnavailableDiscoveryIsPolledAgain) {
+TEST(DiscoveryWatch, UnavailableDiscoveryIsCalledAgain) {
   FakeServer server(always_reply(200, "ok"));
   FakeDiscovery discovery;
   discovery.respond_with(http_response(503, ""));
@@ -116,14 +117,14 @@
   config.discovery = discovery.address();
   NodeProcess program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 2; }));
-  Connection early = Connection::to(program.port());
-  EXPECT_EQ(health_status(early), 503) << "there is no server yet";
+  Connection client = Connection::to(program.port());
+  EXPECT_EQ(health_status(client), 503) << "no server is listed yet";
   discovery.respond_with(watch_response(endpoint_list(3, true, endpoint("s0", server.address()))));
-  EXPECT_TRUE(eventually([&] { return health_status(early) == 200; }));
+  EXPECT_TRUE(eventually([&] { return health_status(client) == 200; }));
 }
 
-// Watches that bring empty lines alone and end must not be taken for failures: each would lengthen the next
-// backoff. Silences are left out here; each end is a close, so that the backoffs alone make the time.
+// A watch that receives only empty lines before it ends must not count as a failure, because each failure
+// lengthens the next backoff. Discovery ends each watch at once here, so that only the backoffs take time.
 TEST(DiscoveryWatch, WatchesThatEndAfterEmptyLinesDoNotGrowTheBackoff) {
   for (const char* mode : {"subscribe", "automatic"}) {
     FakeServer server(always_reply(200, "ok"));
@@ -136,14 +137,14 @@
     const auto start = std::chrono::steady_clock::now();
     NodeProcess program(config.text());
     ASSERT_TRUE(eventually([&] { return discovery.accepted() >= 12; })) << mode;
-    // Backoffs that are not set back to the first one would take over 30 s in sum.
+    // Backoffs that are not reset to the first one would take more than 30 s in total.
     EXPECT_LT(std::chrono::steady_clock::now() - start, 12s) << mode;
   }
 }
 
-// An agent that hangs must not hold a call for as long as an open watch may be silent: two such calls in a
-// row would outlast the notification deadline.
-TEST(DiscoveryWatch, UnansweredCallIsGivenUpSoonerThanAnOpenWatch) {
+// A call that the agent does not respond to must time out sooner than an open watch without events: two such
+// calls in a row would otherwise exceed the notification deadline.
+TEST(DiscoveryWatch, CallWithoutResponseTimesOutSoonerThanAnOpenWatch) {
   FakeServer server(always_reply(200, "ok"));
   FakeServer notified(always_reply(200, "notified"));
   std::atomic<int> calls = 0;
@@ -158,7 +159,7 @@
   const auto start = std::chrono::steady_clock::now();
   NodeProcess program(config.text());
   EXPECT_TRUE(eventually_answers(program.port(), "notified", get_request("")));
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 8s) << "three silences of an open watch take 9 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 8s) << "three timeouts of an open watch take 9 s";
 }
 
 }  // namespace
--- a/tests/node/dispatch_test.cpp
+++ b/tests/node/dispatch_test.cpp
@@ -1,4 +1,5 @@
-// The dispatcher's parts that need no sockets, each by itself.
+/// @file
+/// The parts of the dispatcher that need no sockets, each by itself.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -28,13 +29,13 @@
   EXPECT_DOUBLE_EQ(kMargin.of(0), 0.001);
 }
 
-TEST(DeadlineMargin, WithoutALowerBoundGoesDownToNothing) {
+TEST(DeadlineMargin, WithoutALowerBoundStaysAFractionOfAnyShortTime) {
   constexpr DeadlineMargin kMargin{0};
   EXPECT_DOUBLE_EQ(kMargin.of(0.01), 0.0002);
   EXPECT_DOUBLE_EQ(kMargin.of(60), 0.040);
 }
 
-TEST(DeadlineMargin, TheFallbackLiesBetweenTheEndOfAttemptsAndTheClientsEnd) {
+TEST(DeadlineMargin, FallbackLiesBetweenTheEndOfAttemptsAndTheClientDeadline) {
   constexpr DeadlineMargin kMargin{};
   EXPECT_DOUBLE_EQ(kMargin.attempts_end(100, 1), 99.98);
   EXPECT_DOUBLE_EQ(kMargin.fallback_at(100, 1), 99.99);
@@ -49,7 +50,7 @@
                           1.0, 10.0};
 };
 
-TEST_F(InFlight, OwesAnAnswerUntilItIsGiven) {
+TEST_F(InFlight, IsSettledOnceItsFinalAnswerIsGiven) {
   EXPECT_FALSE(request.is_completed());
   EXPECT_FALSE(request.is_settled());
   request.answer({FinalAnswer::Kind::kServed, 0, {}, nullptr}, 10.25);
@@ -60,7 +61,7 @@
   EXPECT_EQ(request.history().text(), ", class 3, given 1000 ms, served after 250 ms");
 }
 
-TEST_F(InFlight, IsSettledOnlyOnceItsAttemptsHaveEnded) {
+TEST_F(InFlight, StaysUnsettledUntilItsAttemptsHaveEnded) {
   const std::size_t first = request.add_attempt("a"), second = request.add_attempt("b");
   EXPECT_EQ(first, 0U);
   EXPECT_EQ(second, 1U);
@@ -72,7 +73,7 @@
   EXPECT_TRUE(request.is_settled());
 }
 
-TEST_F(InFlight, AbandonedGivesNoAnswerAndIsLogged) {
+TEST_F(InFlight, AbandonedRequestGivesNoFinalAnswerAndNeedsLogging) {
   request.abandon(10.1);
   EXPECT_TRUE(request.is_settled());
   EXPECT_TRUE(answers.empty());
@@ -80,9 +81,9 @@
   EXPECT_EQ(request.history().text(), ", class 3, given 1000 ms, client disconnected after 100 ms");
 }
 
-TEST_F(InFlight, AttemptsEndAMarginBeforeTheClientGivesUp) {
+TEST_F(InFlight, AttemptsEndAMarginBeforeTheClientDeadline) {
   boost::asio::io_context io;
-  EXPECT_DOUBLE_EQ(request.time_for_attempt(10), 0.98);  // while its body is arriving
+  EXPECT_DOUBLE_EQ(request.time_for_attempt(10), 0.98);  // no deadline is set while the body is arriving
   EXPECT_FALSE(request.has_deadline_after(0));
   request.set_deadline(11, std::make_unique<boost::asio::steady_timer>(io));
   EXPECT_DOUBLE_EQ(request.time_for_attempt(10.5), 11 - 0.02 - 10.5);
@@ -102,7 +103,7 @@
 
 // ---------------------------------------------------------------- the log
 
-TEST(RequestLog, WritesNothingOfARequestThatWentWell) {
+TEST(RequestLog, WritesNothingForARequestThatNeedsNoLogging) {
   std::ostringstream out;
   RequestLog log(out);
   RequestHistory history(0, 1);
@@ -112,7 +113,7 @@
   EXPECT_EQ(out.str(), "");
 }
 
-TEST(RequestLog, WritesSoManyLinesASecondAndNoMore) {
+TEST(RequestLog, WritesAtMostItsLimitOfLinesPerSecond) {
   std::ostringstream out;
   RequestLog log(out);
   RequestHistory history(0, 1);
@@ -135,12 +136,12 @@
 
 struct Membership : testing::Test, MembershipTracker::Observer {
   MembershipTracker tracker;
-  std::string seen;
+  std::string calls;
 
   void on_server_listed(const Endpoint& endpoint, bool usable) override {
-    seen += (usable ? "+" : "-") + endpoint.server.address + " ";
+    calls += (usable ? "+" : "-") + endpoint.server.address + " ";
   }
-  void on_server_removed(const std::string& name) override { seen += "x" + name + " "; }
+  void on_server_removed(const std::string& name) override { calls += "x" + name + " "; }
 
   static Endpoint endpoint(const std::string& name, ServerState state = ServerState::kReady) {
     Endpoint out;
@@ -149,29 +150,29 @@
     return out;
   }
   MembershipUpdate apply(bool is_full, const std::vector<Endpoint>& endpoints) {
-    seen.clear();
+    calls.clear();
     return tracker.apply({1, is_full, endpoints}, *this);
   }
 };
 
-TEST_F(Membership, FullListRemovesWhatItLacks) {
+TEST_F(Membership, FullListRemovesServersThatItLacks) {
   const MembershipUpdate event = apply(true, {endpoint("a"), endpoint("b", ServerState::kDraining)});
   EXPECT_EQ(event.form, MembershipUpdate::Form::kFull);
   EXPECT_EQ(event.servers.size(), 2U);
-  EXPECT_EQ(seen, "+a -b ");
+  EXPECT_EQ(calls, "+a -b ");
   EXPECT_EQ(tracker.listed_servers(), 2U);
   EXPECT_EQ(tracker.usable_servers(), 1U);
   (void)apply(true, {endpoint("b")});
-  EXPECT_EQ(seen, "+b xa ");
+  EXPECT_EQ(calls, "+b xa ");
   EXPECT_FALSE(tracker.is_listed("a"));
   EXPECT_EQ(tracker.usable_servers(), 1U);
 }
 
-TEST_F(Membership, ChangesLeaveTheOthersListed) {
+TEST_F(Membership, ChangesLeaveOtherServersListed) {
   (void)apply(true, {endpoint("a"), endpoint("b")});
   const MembershipUpdate event = apply(false, {endpoint("a", ServerState::kRemoved), endpoint("c")});
   EXPECT_EQ(event.form, MembershipUpdate::Form::kChanges);
-  EXPECT_EQ(seen, "xa +c ");
+  EXPECT_EQ(calls, "xa +c ");
   EXPECT_TRUE(tracker.is_listed("b"));
   EXPECT_EQ(tracker.listed_servers(), 2U);
 }
@@ -181,7 +182,7 @@
   EXPECT_EQ(tracker.set_disabled({"b", "unlisted"}), (std::vector<std::string>{"b", "unlisted"}));
   EXPECT_EQ(tracker.usable_servers(), 1U);
   (void)apply(false, {endpoint("b"), endpoint("unlisted")});
-  EXPECT_EQ(seen, "-b -unlisted ");
+  EXPECT_EQ(calls, "-b -unlisted ");
   EXPECT_EQ(tracker.set_disabled({"unlisted"}), (std::vector<std::string>{"b"}));
   EXPECT_EQ(tracker.usable_servers(), 2U);
   EXPECT_EQ(tracker.find("c"), nullptr);
@@ -191,18 +192,18 @@
 
 // ---------------------------------------------------------------- the decision loop
 
-// Notes each action and, from within the first, enqueues one event more.
+// Records each call. While it executes the rejection of the request "first", it enqueues one more event.
 struct RecordingExecutor : ActionExecutor {
   DecisionLoop* loop = nullptr;
-  std::string seen;
+  std::string calls;
   bool is_executing = false;
   bool throws_on_reject = false;
 
-  void execute(const StartAttempt&) override { seen += "start "; }
+  void execute(const StartAttempt&) override { calls += "start "; }
   void execute(const Reject& action) override {
     EXPECT_FALSE(is_executing);
     is_executing = true;
-    seen += "reject " + action.id + " ";
+    calls += "reject " + action.id + " ";
     if (throws_on_reject) {
       is_executing = false;
       throw std::runtime_error("no");
@@ -210,14 +211,14 @@
     if (action.id == "first") loop->enqueue_event(request("second"));
     is_executing = false;
   }
-  void execute(const Fail& action) override { seen += "fail " + action.id + " "; }
+  void execute(const Fail& action) override { calls += "fail " + action.id + " "; }
   void execute(const CancelAttempt&) override {}
   void execute(const SetTimer&) override {}
-  void execute(const WatchMembership&) override { seen += "watch "; }
+  void execute(const WatchMembership&) override { calls += "watch "; }
   void execute(const LogLine&) override {}
-  void on_decision_failed(const std::exception&) override { seen += "failed "; }
-  void on_execution_failed(const std::exception&) override { seen += "threw "; }
-  void after_failed_decision(const Event&) override { seen += "after "; }
+  void on_decision_failed(const std::exception&) override { calls += "failed "; }
+  void on_execution_failed(const std::exception&) override { calls += "threw "; }
+  void after_failed_decision(const Event&) override { calls += "after "; }
 
   static Event request(const std::string& id) {
     Request out;
@@ -234,7 +235,7 @@
   return out;
 }
 
-struct Decisions : testing::Test {
+struct DecisionLoopTest : testing::Test {
   Clock clock;
   RecordingExecutor executor;
   DecisionLoop loop{clock, settings_of_one_class(), 1, executor};
@@ -242,26 +243,26 @@
   void SetUp() override { executor.loop = &loop; }
 };
 
-// Without a server each request is rejected at once.
-TEST_F(Decisions, AnEventFromWithinAnActionWaitsItsTurn) {
+// There is no server, so each request is rejected at once.
+TEST_F(DecisionLoopTest, EventEnqueuedDuringAnActionIsHandledAfterIt) {
   loop.enqueue_event(RecordingExecutor::request("first"));
-  EXPECT_EQ(executor.seen, "reject first reject second ");
+  EXPECT_EQ(executor.calls, "reject first reject second ");
 }
 
-TEST_F(Decisions, GoOnAfterAnActionThatThrows) {
+TEST_F(DecisionLoopTest, ContinuesAfterAnActionThatThrows) {
   executor.throws_on_reject = true;
   loop.enqueue_event(RecordingExecutor::request("first"));
   loop.enqueue_event(RecordingExecutor::request("other"));
-  EXPECT_EQ(executor.seen, "reject first threw reject other threw ");
+  EXPECT_EQ(executor.calls, "reject first threw reject other threw ");
 }
 
-TEST_F(Decisions, SettingsThatCannotBeUsedAreReportedAndNothingElseStops) {
+TEST_F(DecisionLoopTest, UnusableSettingsAreReportedAndLaterEventsAreHandled) {
   Settings unusable;
   unusable.max_attempts = 0;
   loop.enqueue_event(SettingsReplaced{unusable});
-  EXPECT_EQ(executor.seen, "failed after ");
+  EXPECT_EQ(executor.calls, "failed after ");
   loop.enqueue_event(RecordingExecutor::request("first"));
-  EXPECT_EQ(executor.seen, "failed after reject first reject second ");
+  EXPECT_EQ(executor.calls, "failed after reject first reject second ");
 }
 
 }  // namespace
--- a/tests/node/endpoint_list_parsing_test.cpp
+++ b/tests/node/endpoint_list_parsing_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Endpoint lists in any form in which a watch may carry them.
+/// Endpoint lists in every layout in which a watch may deliver them.
 #include <gtest/gtest.h>
 
 #include "node_harness.h"
@@ -7,7 +7,7 @@
 namespace nettleyoke::node {
 namespace {
 
-// An endpoint list as a deployment may write it: on several lines, with strings that look like its frame.
+// An endpoint list on several lines, with a string that contains brackets and quotes.
 std::string indented_list(int version, const std::string& name, const std::string& address) {
   return "{\n  \"index\": " + std::to_string(version) +
          ",\n  \"snapshot\": true,\r\n  \"note\": \"}]\\\"{\",\n" +
@@ -31,8 +31,9 @@
   EXPECT_EQ(deployment.discovery.calls().size(), 1U) << "the watch stays open";
 }
 
-// A list that was cut off must not swallow those that come after it, while the watch looks alive.
-TEST(EndpointListParsing, TruncatedListIsAskedForAgainWithThoseBehindIt) {
+// The node must not take the lists after a truncated list for parts of it: it would miss them while the watch
+// stays open.
+TEST(EndpointListParsing, TruncatedListIsRequestedAgainWithTheListsAfterIt) {
   FakeServer one(always_reply(200, "one"));
   FakeServer two(always_reply(200, "two"));
   for (const std::size_t cut : {std::size_t{12}, std::size_t{48}, std::size_t{75}}) {
--- a/tests/node/endpoint_list_test.cpp
+++ b/tests/node/endpoint_list_test.cpp
@@ -1,4 +1,5 @@
-/// Discovery's watch events: cut from the stream, then parsed.
+/// @file
+/// Watch events: splitting the byte stream into objects, and parsing these as endpoint lists.
 #include "discovery/endpoint_list.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,8 @@
 
 const ZoneDirectory zones{{"east", "west"}};
 
-std::string field_at_fault(std::string_view text) {
+// "field|message" of the error; "none" if the list is valid.
+std::string parse_error(std::string_view text) {
   try {
     static_cast<void>(parse_endpoint_list(text, zones, Clock()));
   } catch (const EndpointListError& error) {
@@ -19,7 +21,7 @@
   return "none";
 }
 
-TEST(EndpointListParsing, ServerWithAllFields_Parsed_EachHasItsPlace) {
+TEST(EndpointListParsing, ServerWithAllFields_Parsed_EachFieldIsSet) {
   const EndpointList list = parse_endpoint_list(
       R"({"index":9,"snapshot":true,"endpoints":[{"name":"s0","address":"[::1]:80","status":"draining",)"
       R"("zone":"west","group":3,"weight":2.5}]})",
@@ -36,23 +38,23 @@
   EXPECT_EQ(endpoint.server.weight, 2.5);
 }
 
-TEST(EndpointListParsing, ServerRemoved_WithoutAddress_Accepted) {
+TEST(EndpointListParsing, RemovedServerWithoutAddress_Parsed_Accepted) {
   const EndpointList list =
       parse_endpoint_list(R"({"index":1,"endpoints":[{"name":"s0","status":"removed"}]})", zones, Clock());
   ASSERT_EQ(list.endpoints.size(), 1U);
   EXPECT_EQ(list.endpoints[0].server.state, ServerState::kRemoved);
 }
 
-TEST(EndpointListParsing, FieldWrong_Parsed_ErrorNamesIt) {
-  EXPECT_EQ(field_at_fault("{"), "|endpoint list is not valid JSON");
-  EXPECT_EQ(field_at_fault("{}"), "index|field 'index' is missing");
-  EXPECT_EQ(field_at_fault(R"({"index":1,"endpoints":[{"name":"s","status":"well"}]})"),
+TEST(EndpointListParsing, InvalidField_Parsed_ErrorNamesIt) {
+  EXPECT_EQ(parse_error("{"), "|endpoint list is not valid JSON");
+  EXPECT_EQ(parse_error("{}"), "index|field 'index' is missing");
+  EXPECT_EQ(parse_error(R"({"index":1,"endpoints":[{"name":"s","status":"well"}]})"),
             "status|field 'status' is not up, draining or removed");
-  EXPECT_EQ(field_at_fault(R"({"index":1,"endpoints":[{"name":"s","status":"up","address":"x:1"}]})"),
+  EXPECT_EQ(parse_error(R"({"index":1,"endpoints":[{"name":"s","status":"up","address":"x:1"}]})"),
             "address|field 'address' is not an address with a port");
 }
 
-TEST(ObjectSplitter, ObjectsSplitAndJoined_Cut_EachIsFound) {
+TEST(ObjectSplitter, ObjectsSplitAndJoined_Appended_EachIsExtracted) {
   using Item = ObjectSplitter::Item;
   ObjectSplitter splitter;
   std::string object;
@@ -68,7 +70,7 @@
   EXPECT_EQ(splitter.next(object), Item::kNone);
 }
 
-TEST(ObjectSplitter, ObjectCutOff_EmptyLineFollows_Malformed) {
+TEST(ObjectSplitter, ObjectTruncated_EmptyLineFollows_Malformed) {
   ObjectSplitter splitter;
   std::string object;
   splitter.append("{\"a\":\n\n");
--- a/tests/node/eviction_queue_test.cpp
+++ b/tests/node/eviction_queue_test.cpp
@@ -1,4 +1,5 @@
-// Which connection is closed for another, without sockets.
+/// @file
+/// Which connection the eviction queue closes first, without sockets.
 #include "downstream/eviction_queue.h"
 
 #include <gtest/gtest.h>
@@ -19,34 +20,34 @@
   bool has_unread_bytes() const { return has_unread_bytes_; }
   void evict() {
     is_evicted_ = true;
-    place_.remove();
+    entry_.remove();
   }
 
   void receive_bytes() { has_unread_bytes_ = true; }
   bool is_evicted() const { return is_evicted_; }
-  Evictions::Entry& place() { return place_; }
+  Evictions::Entry& entry() { return entry_; }
 
  private:
   milliseconds quiet_for_;
   bool has_unread_bytes_ = false;
   bool is_evicted_ = false;
-  Evictions::Entry place_;
+  Evictions::Entry entry_;
 };
 
 class EvictionQueueTest : public ::testing::Test {
  protected:
   void add_unproven(FakeConnection& connection) {
-    queue.add(FakeConnection::Evictions::Kind::kUnproven, connection, connection.place());
+    queue.add(FakeConnection::Evictions::Kind::kUnproven, connection, connection.entry());
   }
   void add_idle(FakeConnection& connection) {
-    queue.add(FakeConnection::Evictions::Kind::kIdle, connection, connection.place());
+    queue.add(FakeConnection::Evictions::Kind::kIdle, connection, connection.entry());
   }
   FakeConnection::Evictions queue;
 };
 
 TEST_F(EvictionQueueTest, EmptyQueueEvictsNone) { EXPECT_FALSE(queue.evict_one()); }
 
-TEST_F(EvictionQueueTest, QuietUnprovenConnectionGoesBeforeAnIdleOne) {
+TEST_F(EvictionQueueTest, QuietUnprovenConnectionIsEvictedBeforeAnIdleOne) {
   FakeConnection unproven(milliseconds(500));
   FakeConnection idle(milliseconds(9000));
   add_idle(idle);
@@ -56,7 +57,7 @@
   EXPECT_FALSE(idle.is_evicted());
 }
 
-TEST_F(EvictionQueueTest, LongIdleConnectionGoesBeforeOneWhoseFirstRequestMayBeOnItsWay) {
+TEST_F(EvictionQueueTest, LongIdleConnectionIsEvictedBeforeANewUnprovenOne) {
   FakeConnection unproven(milliseconds(499));
   FakeConnection idle(milliseconds(2000));
   add_unproven(unproven);
@@ -65,7 +66,7 @@
   EXPECT_TRUE(idle.is_evicted());
 }
 
-TEST_F(EvictionQueueTest, NewUnprovenConnectionGoesBeforeOneThatIsIdleForLessThanItsPeriod) {
+TEST_F(EvictionQueueTest, NewUnprovenConnectionIsEvictedBeforeABrieflyIdleOne) {
   FakeConnection unproven(milliseconds(0));
   FakeConnection idle(milliseconds(1999));
   add_unproven(unproven);
@@ -74,7 +75,7 @@
   EXPECT_TRUE(unproven.is_evicted());
 }
 
-TEST_F(EvictionQueueTest, BrieflyIdleConnectionGoesWhenThereIsNoOther) {
+TEST_F(EvictionQueueTest, BrieflyIdleConnectionIsEvictedIfThereIsNoOther) {
   FakeConnection idle(milliseconds(0));
   add_idle(idle);
   EXPECT_TRUE(queue.evict_one());
@@ -82,7 +83,7 @@
   EXPECT_EQ(queue.size(), 0U);
 }
 
-TEST_F(EvictionQueueTest, OldestOfSeveralGoesFirst) {
+TEST_F(EvictionQueueTest, OldestOfSeveralIsEvictedFirst) {
   FakeConnection first(milliseconds(600));
   FakeConnection second(milliseconds(600));
   add_unproven(first);
@@ -92,7 +93,7 @@
   EXPECT_FALSE(second.is_evicted());
 }
 
-TEST_F(EvictionQueueTest, ConnectionWithUnreadBytesStays) {
+TEST_F(EvictionQueueTest, ConnectionWithUnreadBytesIsNotEvicted) {
   FakeConnection first(milliseconds(600));
   FakeConnection second(milliseconds(600));
   add_unproven(first);
@@ -115,13 +116,13 @@
   EXPECT_TRUE(other.is_evicted());
 }
 
-TEST_F(EvictionQueueTest, ConnectionThatLeftIsNotEvictedAndMayLeaveAgain) {
+TEST_F(EvictionQueueTest, RemovedConnectionIsNotEvictedAndMayBeRemovedAgain) {
   FakeConnection connection(milliseconds(9000));
   add_idle(connection);
-  EXPECT_TRUE(connection.place().is_queued());
-  connection.place().remove();
-  connection.place().remove();
-  EXPECT_FALSE(connection.place().is_queued());
+  EXPECT_TRUE(connection.entry().is_queued());
+  connection.entry().remove();
+  connection.entry().remove();
+  EXPECT_FALSE(connection.entry().is_queued());
   EXPECT_FALSE(queue.evict_one());
 }
 
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// A node that drains after SIGTERM: whom it goes on serving, for how long, and that it ends with success.
+/// Graceful shutdown after SIGTERM: which clients the node still serves, for how long, and that it exits with
+/// status 0.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -16,11 +17,11 @@
   in_flight.write(RequestBuilder{}.text());
   ASSERT_TRUE(deployment.server.eventually_received(1));
   deployment.program->signal(SIGTERM);
-  Connection late = deployment.client();  // it goes on accepting for a while
+  Connection late = deployment.client();  // the node still accepts connections for a while
   late.write(RequestBuilder{.id = "late"}.text());
   ASSERT_TRUE(deployment.server.eventually_received(2));
   ASSERT_TRUE(eventually([&] { return !deployment.client().is_open(); }));
-  EXPECT_TRUE(deployment.program->is_running()) << "two answers are owed";
+  EXPECT_TRUE(deployment.program->is_running()) << "two requests have no final answer yet";
   gate.open();
   for (Connection* client : {&in_flight, &late}) {
     const std::string answer = client->read_message();
@@ -29,9 +30,9 @@
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// A restart must not leave clients without a node for longer than need be: they go on using the connections
-// that they have; but nothing is admitted that could not be answered in time.
-TEST(GracefulShutdown, OpenConnectionsAreServedWhileDraining) {
+// To keep the gap of a restart short, clients are served on their open connections during the shutdown. Each
+// request that is admitted must get its final answer before the process is killed.
+TEST(GracefulShutdown, OpenConnectionsAreServedDuringTheShutdown) {
   std::atomic<bool> silent = false;
   FakeServer server([&](Connection& connection, const std::string&) {
     return silent || connection.write(http_response(200, "ok"));
@@ -50,11 +51,11 @@
   const std::string answer = exchange(other, {.id = "unanswered", .timeout_ms = "15000"});
   EXPECT_EQ(status_of(answer), 502) << answer;
   EXPECT_EQ(deployment.program->exit_status(), 0);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client would have waited 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
 }
 
-// Clients that find no free connection once, while no new ones are accepted, would turn from a node that
-// could serve them for seconds.
+// No new connections are accepted during the shutdown. A client that found no free connection once would stop
+// using the node, although the node could serve it for seconds.
 TEST(GracefulShutdown, AQuarterOfTheConnectionsIsKeptFree) {
   Gate gate;
   OneServerDeployment deployment(reply_after(gate));
@@ -75,7 +76,7 @@
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// The gap between two processes must not be longer than need be: a response takes 0.1 s or so.
+// Idle connections are closed late to keep the gap between two processes short: a response takes about 0.1 s.
 TEST(GracefulShutdown, IdleConnectionsStayUntilNearTheEnd) {
   OneServerDeployment deployment;
   Connection client = deployment.client();
@@ -83,11 +84,11 @@
   const auto start = std::chrono::steady_clock::now();
   deployment.program->signal(SIGTERM);
   EXPECT_EQ(client.read_to_end(), "");
-  EXPECT_GT(std::chrono::steady_clock::now() - start, 2700ms) << "it may be killed after 3.7 s";
+  EXPECT_GT(std::chrono::steady_clock::now() - start, 2700ms) << "the process may be killed after 3.7 s";
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-TEST(GracefulShutdown, FirstRequestThatCrossesSigtermIsServed) {
+TEST(GracefulShutdown, FirstRequestOfAConnectionIsServedAfterSigterm) {
   OneServerDeployment deployment;
   Connection fresh = deployment.client();
   deployment.program->signal(SIGTERM);
@@ -96,9 +97,9 @@
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// A drain that lasted by the timeouts of classes that are gone, while the kill comes by those that are in
-// force, would lose what clients send in between.
-TEST(GracefulShutdown, LastsByTheClassesInForceAfterAReload) {
+// The time until the kill follows from the timeouts of the classes in force. A shutdown that lasted as long
+// as replaced classes allow would lose requests that clients send in between.
+TEST(GracefulShutdown, DurationFollowsTheClassesInForceAfterAReload) {
   OneServerDeployment deployment;
   Connection client = deployment.client();
   ASSERT_EQ(status_of(exchange(client, {})), 200);
@@ -109,11 +110,11 @@
   deployment.program->signal(SIGTERM);
   EXPECT_EQ(client.read_to_end(), "");
   EXPECT_LT(std::chrono::steady_clock::now() - start, 2s)
-      << "2.8 s by the classes before, and the kill at 1.2";
+      << "the replaced classes would allow 2.8 s, but the kill comes after 1.2 s";
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-TEST(GracefulShutdown, RequestOfADroppedClassKeepsItsTimeout) {
+TEST(GracefulShutdown, RequestOfARemovedClassKeepsItsTimeout) {
   Gate gate;
   OneServerDeployment deployment(reply_after(gate));
   Connection client = deployment.client();
@@ -131,7 +132,7 @@
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// Requests in flight at the start of a drain must not be so still when the process is killed.
+// Requests in flight at SIGTERM must get their final answer before the process is killed.
 TEST(GracefulShutdown, RequestInFlightFailsBeforeTheKill) {
   OneServerDeployment deployment(never_reply());
   Connection client = deployment.client();
@@ -141,16 +142,16 @@
   deployment.program->signal(SIGTERM);
   const auto start = std::chrono::steady_clock::now();
   EXPECT_EQ(status_of(client.read_message()), 502);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client would have waited 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// Closing a listener resets all connections in its queue that there was no capacity for.
+// Closing a listener resets the connections that are still in its accept queue for lack of capacity.
 TEST(GracefulShutdown, ConnectionsInTheAcceptQueueAreAnswered) {
   Gate gate;
   FakeServer server(reply_after(gate));
   NodeConfig config;
-  config.sockets = 64;  // 20 client connections, and 5 to be rejected
+  config.sockets = 64;  // 20 client connections, and 5 that are rejected
   Deployment deployment({&server}, config);
   std::vector<Connection> clients;
   for (int i = 0; i < 40; ++i) {
@@ -159,21 +160,22 @@
   }
   ASSERT_TRUE(eventually([&] { return !server.requests().empty(); }));
   deployment.program->signal(SIGTERM);
-  std::this_thread::sleep_for(1s);  // past the time in which new connections are accepted
+  std::this_thread::sleep_for(1s);  // longer than new connections are accepted
   gate.open();
   for (std::size_t i = 0; i < clients.size(); ++i) EXPECT_NE(status_of(clients[i].read_message()), 0) << i;
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-// A connection that came up just before the listener closed, and whose first request is on its way.
+// The first request may already be on its way on a connection that was established just before the listener
+// closed.
 TEST(GracefulShutdown, NewConnectionIsKeptForItsFirstRequest) {
-  // The listener and the idle connections are closed in one turn of the event loop.
+  // The listener and the idle connections are closed in one iteration of the event loop.
   OneServerDeployment deployment(always_reply(200, "ok"), {.classes = short_classes()});
   deployment.program->signal(SIGTERM);
   std::vector<Connection> clients;
   for (Connection next = deployment.client(); next.is_open(); next = deployment.client()) {
     clients.push_back(std::move(next));
-    if (clients.size() > 20) clients.erase(clients.begin());  // each is newer than the one before
+    if (clients.size() > 20) clients.erase(clients.begin());  // keeps the newest
     std::this_thread::sleep_for(5ms);
   }
   ASSERT_FALSE(clients.empty());
--- a/tests/node/large_body.h
+++ b/tests/node/large_body.h
@@ -1,5 +1,5 @@
 /// @file
-/// Bodies of any size, and their chunked form.
+/// Bodies of any size, and the chunked transfer coding.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace nettleyoke::node {
 
-/// A body that is not the same anywhere: a piece that is lost, doubled or swapped shows.
+/// A pseudo-random body, so that a comparison detects lost, duplicated or swapped parts.
 inline std::string large_body(std::size_t size) {
   std::string body(size, '\0');
   std::uint32_t state = 1;
@@ -22,8 +22,9 @@
   return body;
 }
 
-/// A body in chunks, up to the line of the last one: the trailers and the empty line are left to the caller.
-/// @param extension  of each chunk, with its semicolon
+/// Encodes a body in chunks, up to and including the line of the last chunk. The trailers and the empty line
+/// have to be appended.
+/// @param extension  chunk extension that each chunk gets, with its semicolon
 inline std::string chunked(const std::string& body, std::size_t chunk_size,
                            const std::string& extension = "") {
   std::ostringstream out;
@@ -35,7 +36,8 @@
   return out.str();
 }
 
-/// The body that is carried in chunks; nothing where they are not complete.
+/// Decodes a chunked body.
+/// @return nullopt if the chunks are incomplete
 inline std::optional<std::string> dechunked(const std::string& raw) {
   std::string body;
   for (std::size_t at = 0;;) {
--- a/tests/node/large_request_test.cpp
+++ b/tests/node/large_request_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that are too large to be buffered, and peers that are slow with them.
+/// Requests with large bodies: slow clients, connections that end midway, and the memory limit.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -37,7 +37,7 @@
     }
   }
 
-  // The body of a request; nothing as long as the request is not complete.
+  // The body of a request; nullopt while the request is incomplete.
   static std::optional<std::string> complete_body_of(const std::string& request) {
     const std::size_t head_end = request.find("\r\n\r\n");
     if (head_end == std::string::npos) return std::nullopt;
@@ -60,12 +60,12 @@
   Listener listener_;
 };
 
-// A node in front of a server that is no FakeServer.
+// A node in front of a server that is not a FakeServer.
 std::unique_ptr<NodeProcess> node_in_front_of(const Listener& server) {
   return std::make_unique<NodeProcess>(config_knowing(server.address()).text());
 }
 
-TEST(LargeRequest, BothFramingsArriveUnchanged) {
+TEST(LargeRequest, BodiesInBothFramingsArriveUnchanged) {
   BodyServer server;
   const auto node = node_in_front_of(server.listener());
   Connection client = Connection::to(node->port());
@@ -91,13 +91,13 @@
   BodyServer server;
   const auto node = node_in_front_of(server.listener());
   const std::string body = large_body(200000);
-  const std::string all = RequestBuilder{.body = body, .fields = "Expect: 100-continue\r\n"}.text();
-  const std::size_t head = all.size() - body.size();
+  const std::string text = RequestBuilder{.body = body, .fields = "Expect: 100-continue\r\n"}.text();
+  const std::size_t head = text.size() - body.size();
   Connection client = Connection::to(node->port());
-  client.write(all.substr(0, head));
+  client.write(text.substr(0, head));
   EXPECT_EQ(status_of(client.read_message()), 100);
-  for (std::size_t at = head; at < all.size(); at += 12800) {  // 64 kB a second, 3 s in total
-    client.write(all.substr(at, 12800));
+  for (std::size_t at = head; at < text.size(); at += 12800) {  // 64 kB a second, 3 s in total
+    client.write(text.substr(at, 12800));
     std::this_thread::sleep_for(200ms);
   }
   EXPECT_EQ(status_of(client.read_message()), 200);
@@ -108,15 +108,15 @@
 TEST(LargeRequest, StalledBodyTimesOutAndIsNeverForwarded) {
   BodyServer server;
   const auto node = node_in_front_of(server.listener());
-  const std::string all = RequestBuilder{.body = large_body(400000)}.text();
+  const std::string text = RequestBuilder{.body = large_body(400000)}.text();
   Connection client = Connection::to(node->port());
-  client.write(all.substr(0, 200000));
+  client.write(text.substr(0, 200000));
   EXPECT_EQ(status_of(client.read_message()), 408);
   EXPECT_EQ(server.listener().accepted(), 0);
 }
 
-// There must be no second attempt with half a body, and no client that waits for what can't come.
-TEST(LargeRequest, ResetMidwayIsAnsweredAtOnceWithoutRetry) {
+// The node must not retry with an incomplete body, and must not let the client wait until its timeout.
+TEST(LargeRequest, ServerResetMidwayIsAnsweredAtOnceWithoutRetry) {
   Listener server([](Connection& connection) {
     std::size_t received = 0;
     for (std::size_t size = 1; size > 0 && received < 3 * kMebibyte / 2; received += size) {
@@ -127,14 +127,15 @@
   const auto node = node_in_front_of(server);
   const std::string body = large_body(8 * kMebibyte);
   Connection client = Connection::to(node->port());
-  const std::string all = RequestBuilder{.body = body}.text();
-  client.write(all.substr(0, 2 * kMebibyte));
-  EXPECT_EQ(status_of(client.read_message()), 503) << "its last byte was never written: it can't have run";
+  const std::string text = RequestBuilder{.body = body}.text();
+  client.write(text.substr(0, 2 * kMebibyte));
+  EXPECT_EQ(status_of(client.read_message()), 503)
+      << "without its last byte the server can't have processed it";
   EXPECT_EQ(server.accepted(), 1);
 }
 
-// The server resets while the client pauses, so that nothing is being written to it.
-TEST(LargeRequest, ResetWhileTheClientPausesIsAnsweredAtOnce) {
+// The server resets while the client pauses, so that the node has no write in progress that would fail.
+TEST(LargeRequest, ServerResetWhileTheClientPausesIsAnsweredAtOnce) {
   std::atomic<int> received = 0;
   Gate gate;
   Listener server([&](Connection& connection) {
@@ -146,15 +147,15 @@
     connection.reset();
   });
   const auto node = node_in_front_of(server);
-  const std::string all = RequestBuilder{.body = large_body(8 * kMebibyte)}.text();
+  const std::string text = RequestBuilder{.body = large_body(8 * kMebibyte)}.text();
   Connection client = Connection::to(node->port());
-  client.write(all.substr(0, 2 * kMebibyte + 4000));
+  client.write(text.substr(0, 2 * kMebibyte + 4000));
   ASSERT_TRUE(eventually([&] { return received > static_cast<int>(2 * kMebibyte); }));
   gate.open();
   EXPECT_EQ(status_of(client.read_message()), 503);
 }
 
-TEST(LargeRequest, DisconnectMidwayClosesTheServerConnection) {
+TEST(LargeRequest, ClientDisconnectMidwayClosesTheServerConnection) {
   BodyServer server;
   const auto node = node_in_front_of(server.listener());
   Connection client = Connection::to(node->port());
@@ -179,9 +180,9 @@
   EXPECT_EQ(body_of(deployment.server.requests()[1]), body);
 }
 
-// Many large bodies at once in little memory: what does not fit is rejected or streamed, and all get an
-// answer.
-TEST(LargeRequest, ManyInLittleMemoryAreAllServed) {
+// Many large bodies at once with little memory: bodies that do not fit are streamed, and all requests are
+// served.
+TEST(LargeRequest, ManyWithLittleMemoryAreAllServed) {
   BodyServer server;
   NodeConfig config = config_knowing(server.listener().address());
   config.memory_mb = 32;
@@ -202,10 +203,10 @@
   for (const std::string& received : server.bodies()) EXPECT_TRUE(received == body);
 }
 
-// Bodies must not add up, over all connections, to more than the memory.
-TEST(MemoryLimit, BodiesBeyondItAreRejectedWithRetryAfter) {
+// The bodies of all connections together must not exceed the memory limit.
+TEST(MemoryLimit, BodiesBeyondTheLimitAreRejectedWithRetryAfter) {
   OneServerDeployment deployment(always_reply(200, "ok"),
-                                 {.memory_mb = 8});  // 2.7 MB of it for messages: 40 bodies
+                                 {.memory_mb = 8});  // 2.7 MB of it are for messages: 40 bodies
   constexpr int kClients = 80;
   {
     std::vector<Connection> clients;
@@ -222,7 +223,7 @@
       if (!answer.empty() && status_of(answer) == 408) ++timed_out;
     }
     EXPECT_GE(rejected, kClients / 4);
-    EXPECT_GT(timed_out, 0) << "what there was memory for was read";
+    EXPECT_GT(timed_out, 0) << "bodies that fit into the memory were read";
   }
   Connection after = deployment.client();
   EXPECT_EQ(status_of(exchange(after, {.body = std::string(60000, 'x')})), 200)
