--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -182,7 +182,7 @@
   EXPECT_EQ(body_of(deployment.answer_to({.id = "back"})), "one");
 }
 
-// A server may be restarted while it is disabled, so connections from before must not be reused.
+// A server may be restarted while it is disabled, so its old connections must not be reused.
 TEST(DisabledServer, IdleConnectionsAreClosed) {
   OneServerDeployment deployment(always_reply(200, "ok"), with_admin_server());
   EXPECT_EQ(body_of(deployment.answer_to({.id = "r1"})), "ok");
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The configuration file: defaults and errors; and the division of the descriptor limit.
+/// The defaults and errors of the configuration file, and the division of the descriptor limit.
 #include "config.h"
 
 #include <gtest/gtest.h>
--- a/tests/node/connection_shutdown_race_test.cpp
+++ b/tests/node/connection_shutdown_race_test.cpp
@@ -15,7 +15,7 @@
   return std::string(with.param ? "IsDisabled" : "IsDraining");
 });
 
-// A server that is draining or disabled must not get a request on a connection that was requested before.
+// A connect started before its server became draining or disabled must not carry a request afterwards.
 TEST_P(PendingConnect, CarriesNoRequestOnceEstablished) {
   HeldServerDeployment node;
   FakeServer other(always_reply(200, "other"));
--- a/tests/node/disabled_servers_test.cpp
+++ b/tests/node/disabled_servers_test.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// The file of disabled servers. In a process takeover, a process of this build shares the file with one of
-/// an earlier build; these tests use the format of commit a43169a.
+/// an earlier build. The earlier build in these tests is commit a43169a.
 #include "takeover/disabled_servers.h"
 
 #include <gtest/gtest.h>
--- a/tests/node/dispatch_test.cpp
+++ b/tests/node/dispatch_test.cpp
@@ -144,10 +144,10 @@
   void on_server_removed(const std::string& name) override { calls += "x" + name + " "; }
 
   static Endpoint endpoint(const std::string& name, ServerState state = ServerState::kReady) {
-    Endpoint out;
-    out.server.address = name;
-    out.server.state = state;
-    return out;
+    Endpoint endpoint;
+    endpoint.server.address = name;
+    endpoint.server.state = state;
+    return endpoint;
   }
   MembershipUpdate apply(bool is_full, const std::vector<Endpoint>& endpoints) {
     calls.clear();
@@ -221,18 +221,18 @@
   void after_failed_decision(const Event&) override { calls += "after "; }
 
   static Event request(const std::string& id) {
-    Request out;
-    out.id = id;
-    out.time_left = 1;
-    return out;
+    Request request;
+    request.id = id;
+    request.time_left = 1;
+    return request;
   }
 };
 
 Settings settings_of_one_class() {
-  Settings out;
-  RequestClass& only = out.classes.emplace_back();
-  only.latency_objective = only.client_timeout = 1;
-  return out;
+  Settings settings;
+  RequestClass& request_class = settings.classes.emplace_back();
+  request_class.latency_objective = request_class.client_timeout = 1;
+  return settings;
 }
 
 struct DecisionLoopTest : testing::Test {
--- a/tests/node/endpoint_list_parsing_test.cpp
+++ b/tests/node/endpoint_list_parsing_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(deployment.discovery.calls().size(), 1U) << "the watch stays open";
 }
 
-// The node must not take the lists after a truncated list for parts of it: it would miss them while the watch
+// The lists after a truncated list must not be read as parts of it: the node would miss them while the watch
 // stays open.
 TEST(EndpointListParsing, TruncatedListIsRequestedAgainWithTheListsAfterIt) {
   FakeServer one(always_reply(200, "one"));
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -54,8 +54,8 @@
   EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
 }
 
-// No new connections are accepted during the shutdown. A client that found no free connection once would stop
-// using the node, although the node could serve it for seconds.
+// Once the node accepts no more connections, a client that finds no free connection even once stops using the
+// node, although the node could serve it for seconds.
 TEST(GracefulShutdown, AQuarterOfTheConnectionsIsKeptFree) {
   Gate gate;
   OneServerDeployment deployment(reply_after(gate));
@@ -98,7 +98,7 @@
 }
 
 // The time until the kill follows from the timeouts of the classes in force. A shutdown that lasted as long
-// as replaced classes allow would lose requests that clients send in between.
+// as the replaced classes allow would still serve clients at the kill and lose their requests.
 TEST(GracefulShutdown, DurationFollowsTheClassesInForceAfterAReload) {
   OneServerDeployment deployment;
   Connection client = deployment.client();
@@ -160,7 +160,7 @@
   }
   ASSERT_TRUE(eventually([&] { return !server.requests().empty(); }));
   deployment.program->signal(SIGTERM);
-  std::this_thread::sleep_for(1s);  // longer than new connections are accepted
+  std::this_thread::sleep_for(1s);  // until the node accepts no more connections
   gate.open();
   for (std::size_t i = 0; i < clients.size(); ++i) EXPECT_NE(status_of(clients[i].read_message()), 0) << i;
   EXPECT_EQ(deployment.program->exit_status(), 0);
