--- a/tests/node/operators_listen_test.cpp
+++ b/tests/node/admin_listen_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' address, while another process holds it.
+/// The admin server's listening socket while another process holds the admin address.
 #include <gtest/gtest.h>
 
 #include "node_harness.h"
@@ -7,8 +7,9 @@
 namespace nettleyoke::node {
 namespace {
 
-// The environment's address comes first, and a reload knows the file's alone.
-TEST(OperatorsListen, AddressInUseDuringAReload_BecomesFree_IsListenedOn) {
+// RELAY_OPS takes precedence over the configuration file, but a reload reads the file alone, which has no
+// admin address here. The node must keep trying the address of RELAY_OPS.
+TEST(AdminListen, AddressInUseDuringAReload_BecomesFree_NodeListensOnIt) {
   Listener holder([](Connection&) {});
   const std::string config = NodeConfig{}.text();
   const NodeProcess node(config, {.environment = {{"RELAY_OPS", holder.address()}}});
