--- a/tests/node/memory_budget_test.cpp
+++ b/tests/node/memory_budget_test.cpp
@@ -1,4 +1,5 @@
-// The bytes of messages that a node holds, without connections.
+/// @file
+/// Unit tests of MemoryBudget and its reservations.
 #include "http/memory_budget.h"
 
 #include <gtest/gtest.h>
@@ -18,14 +19,14 @@
   EXPECT_EQ(budget.used(), 100U);
 }
 
-TEST_F(MemoryBudgetTest, ReservationBeyondTheLimitFailsAndKeepsWhatItHad) {
+TEST_F(MemoryBudgetTest, ReservationBeyondTheLimitFailsAndKeepsItsSize) {
   MemoryBudget::Reservation reservation(budget);
   ASSERT_TRUE(reservation.try_resize(40));
   EXPECT_FALSE(reservation.try_resize(101));
   EXPECT_EQ(budget.used(), 40U);
 }
 
-TEST_F(MemoryBudgetTest, ReservationsOfSeveralHoldersAddUpToOneLimit) {
+TEST_F(MemoryBudgetTest, SeveralReservationsShareOneLimit) {
   MemoryBudget::Reservation first(budget);
   MemoryBudget::Reservation second(budget);
   ASSERT_TRUE(first.try_resize(60));
@@ -33,7 +34,7 @@
   EXPECT_TRUE(second.try_resize(40));
 }
 
-TEST_F(MemoryBudgetTest, EndOfAReservationGivesItsBytesBack) {
+TEST_F(MemoryBudgetTest, DestroyedReservationReleasesItsBytes) {
   {
     MemoryBudget::Reservation reservation(budget);
     ASSERT_TRUE(reservation.try_resize(70));
@@ -41,7 +42,7 @@
   EXPECT_EQ(budget.used(), 0U);
 }
 
-TEST_F(MemoryBudgetTest, ResizeOfBytesThatAreThereAlreadyExceedsTheLimit) {
+TEST_F(MemoryBudgetTest, UncheckedResizeMayExceedTheLimit) {
   MemoryBudget::Reservation reservation(budget);
   reservation.resize(150);
   EXPECT_EQ(budget.used(), 150U);
@@ -49,7 +50,7 @@
   EXPECT_FALSE(other.try_resize(1));
 }
 
-TEST_F(MemoryBudgetTest, ShrinkSucceedsWhileTheBudgetIsExceeded) {
+TEST_F(MemoryBudgetTest, ShrinkingSucceedsWhileTheLimitIsExceeded) {
   MemoryBudget::Reservation reservation(budget);
   reservation.resize(150);
   EXPECT_FALSE(reservation.try_resize(151));
@@ -57,7 +58,7 @@
   EXPECT_EQ(budget.used(), 120U);
 }
 
-TEST_F(MemoryBudgetTest, LimitSetBelowWhatIsInUseRejectsGrowthOnly) {
+TEST_F(MemoryBudgetTest, LimitSetBelowTheUsageRejectsGrowthOnly) {
   MemoryBudget::Reservation reservation(budget);
   ASSERT_TRUE(reservation.try_resize(80));
   budget.set_limit(50);
@@ -65,7 +66,7 @@
   EXPECT_TRUE(reservation.try_resize(80));
 }
 
-TEST_F(MemoryBudgetTest, UseAtTheFractionIsNotUnderIt) {
+TEST_F(MemoryBudgetTest, UsageEqualToTheFractionIsNotBelowIt) {
   MemoryBudget::Reservation reservation(budget);
   reservation.resize(24);
   EXPECT_TRUE(budget.is_below_fraction(0.25));
--- a/tests/node/misbehaving_client_test.cpp
+++ b/tests/node/misbehaving_client_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Clients that are slow, silent or malformed.
+/// Clients that are slow or silent, or that send malformed requests.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -9,17 +9,18 @@
 namespace nettleyoke::node {
 namespace {
 
-// Clients must not connect and say nothing for as long as they please.
-TEST(MisbehavingClient, SilentConnectionIsClosedSoon) {
+// Clients must not keep a connection open indefinitely without sending anything.
+TEST(MisbehavingClient, SilentConnectionIsClosedWithinSeconds) {
   OneServerDeployment deployment;
   const auto start = std::chrono::steady_clock::now();
   Connection client = deployment.client();
   EXPECT_EQ(client.read_to_end(), "");
-  EXPECT_LT(seconds_since(start), 10) << "3 s are allowed; 15 s were once given";
+  EXPECT_LT(seconds_since(start), 10) << "the limit is 3 s; it was once 15 s";
 }
 
-// The time must not start with the first byte, or anew with each.
-TEST(MisbehavingClient, SlowFirstRequestTimesOutByTheAgeOfItsConnection) {
+// The timeout must start when the connection is accepted, not at the first byte, and must not restart at each
+// byte.
+TEST(MisbehavingClient, TimeoutOfASlowFirstRequestStartsWithItsConnection) {
   OneServerDeployment deployment;
   const auto start = std::chrono::steady_clock::now();
   Connection client = deployment.client();
@@ -29,20 +30,21 @@
   EXPECT_LT(seconds_since(start), 5.5);
 }
 
-// Silent connections must not push out clients that wait between two requests.
-TEST(MisbehavingClient, SilentConnectionsAreEvictedBeforeServedOnes) {
+// Silent connections must not cause the eviction of clients that are idle between two requests.
+TEST(MisbehavingClient, SilentConnectionsAreEvictedBeforeIdleOnes) {
   OneServerDeployment deployment(always_reply(200, "ok"), {.sockets = 64});  // 20 client connections
-  Connection usual = deployment.client();
-  ASSERT_EQ(status_of(exchange(usual, {.id = "first"})), 200);
+  Connection idle = deployment.client();
+  ASSERT_EQ(status_of(exchange(idle, {.id = "first"})), 200);
   std::vector<Connection> silent;
   silent.reserve(60);
   for (int i = 0; i < 60; ++i) silent.push_back(deployment.client());
-  // All of them have been accepted once a later one is served.
+  // Connections are accepted in order: once a later one is served, all silent ones have been accepted.
   ASSERT_TRUE(deployment.eventually_answers_with_status(200));
-  EXPECT_EQ(status_of(exchange(usual, {.id = "second"})), 200) << "its connection is still there";
+  EXPECT_EQ(status_of(exchange(idle, {.id = "second"})), 200) << "its connection must still be open";
 }
 
-// Connections that sent one request and stay must not push out one that is slow with its first.
+// Connections that are idle after one request must not cause the eviction of a new one that is slow with its
+// first request.
 TEST(MisbehavingClient, SlowNewConnectionOutlivesLongIdleOnes) {
   OneServerDeployment deployment(always_reply(200, "ok"), {.sockets = 64});  // 20 client connections
   std::vector<Connection> idle;
@@ -51,7 +53,8 @@
     idle.back().write(RequestBuilder{.id = "idle" + std::to_string(i)}.text());
     ASSERT_EQ(status_of(idle.back().read_message()), 200);
   }
-  std::this_thread::sleep_for(2500ms);  // from now on they may be evicted without harm
+  // Longer than the 2 s after which an idle connection may be closed without harm.
+  std::this_thread::sleep_for(2500ms);
   Connection slow = deployment.client();
   const std::string text = RequestBuilder{.id = "slow"}.text();
   slow.write(text.substr(0, 40));
@@ -64,7 +67,7 @@
   EXPECT_EQ(status_of(slow.read_message()), 200);
 }
 
-TEST(MisbehavingClient, PipelinedErrorsAreAnsweredAndTheConnectionStays) {
+TEST(MisbehavingClient, PipelinedInvalidRequestsAreAnsweredAndTheConnectionStaysOpen) {
   OneServerDeployment deployment;
   Connection client = deployment.client();
   client.write(RequestBuilder{.id = "", .body = ""}.text() +
@@ -74,25 +77,25 @@
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-TEST(MisbehavingClient, TimeoutOfDaysIsCutToThatOfTheClass) {
+TEST(MisbehavingClient, TimeoutOfDaysIsCappedAtThatOfTheClass) {
   OneServerDeployment deployment;
   Connection client = deployment.client();
   ASSERT_EQ(status_of(exchange(client, {.timeout_ms = "900000000"})), 200);
   EXPECT_LE(std::stoi(field_of(deployment.server.requests()[0], "X-Timeout-Ms")), 15000);
 }
 
-TEST(MisbehavingClient, ExpectContinueIsAnsweredBeforeTheBody) {
+TEST(MisbehavingClient, ExpectContinueIsAnsweredBeforeTheBodyIsSent) {
   OneServerDeployment deployment;
   Connection client = deployment.client();
-  const std::string all = RequestBuilder{.fields = "Expect: 100-continue\r\n"}.text();
-  client.write(all.substr(0, all.size() - 2));
+  const std::string request = RequestBuilder{.fields = "Expect: 100-continue\r\n"}.text();
+  client.write(request.substr(0, request.size() - 2));
   EXPECT_EQ(status_of(client.read_message()), 100);
   client.write("{}");
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-// Whatever leaves open where the body ends may hide another request in it.
-TEST(MisbehavingClient, AmbiguousLengthsAreNeverForwarded) {
+// If the head does not define where the body ends, the body can hide another request (request smuggling).
+TEST(MisbehavingClient, RequestWithAnAmbiguousLengthIsNotForwarded) {
   OneServerDeployment deployment;
   const std::string hidden = RequestBuilder{.id = "hidden"}.text();
   for (const std::string fields :
@@ -104,8 +107,8 @@
         "Content-Length : 5\r\n"}) {
     Connection client = deployment.client();
     client.write(RequestBuilder{.body = "", .fields = fields}.text() + "0\r\n\r\n" + hidden);
-    const std::string answer = client.read_message();
-    EXPECT_TRUE(answer.empty() || status_of(answer) >= 400) << fields << answer;
+    const std::string response = client.read_message();
+    EXPECT_TRUE(response.empty() || status_of(response) >= 400) << fields << response;
     EXPECT_EQ(client.read_to_end().find("200 OK"), std::string::npos) << fields;
   }
   EXPECT_TRUE(deployment.server.requests().empty());
--- a/tests/node/misbehaving_server_test.cpp
+++ b/tests/node/misbehaving_server_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Servers whose responses break the protocol, and servers that are replaced at one address.
+/// Servers whose responses violate the protocol, and a server that replaces another at the same address.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -10,31 +10,31 @@
 namespace nettleyoke::node {
 namespace {
 
-TEST(MisbehavingServer, ContradictoryLengthsFailTheAttempt) {
+TEST(MisbehavingServer, InvalidBodyLengthFailsTheAttempt) {
   std::mutex mutex;
-  std::string next;
+  std::string next_fields_and_body;
   OneServerDeployment deployment([&](Connection& connection, const std::string&) {
     const std::lock_guard lock(mutex);
-    return connection.write("HTTP/1.1 200 OK\r\n" + next);
+    return connection.write("HTTP/1.1 200 OK\r\n" + next_fields_and_body);
   });
   int count = 0;
-  for (const std::string rest :
+  for (const std::string fields_and_body :
        {"Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "Content-Length: -2\r\n\r\nab",
         "Content-Length: two\r\n\r\nab",
         "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
         "Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n", "Content-Length: 3000000000\r\n\r\nab"}) {
     {
       const std::lock_guard lock(mutex);
-      next = rest;
+      next_fields_and_body = fields_and_body;
     }
     Connection client = deployment.client();
     const int status = status_of(exchange(client, {.id = "l" + std::to_string(++count)}));
-    EXPECT_TRUE(status == 502 || status == 503) << rest << status;
+    EXPECT_TRUE(status == 502 || status == 503) << fields_and_body << status;
   }
 }
 
-// A line of a body that never ends must not be read for as long as it comes.
-TEST(MisbehavingServer, EndlessChunkHeadFailsTheAttempt) {
+// The node must limit the size of a chunk header instead of reading for as long as the server sends one.
+TEST(MisbehavingServer, EndlessChunkHeaderFailsTheAttempt) {
   OneServerDeployment deployment([](Connection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;");
     while (connection.write(std::string(64 * kKibibyte, 'x'))) {
@@ -44,13 +44,13 @@
   const auto start = std::chrono::steady_clock::now();
   Connection client = deployment.client();
   EXPECT_EQ(status_of(exchange(client, {})), 502);
-  EXPECT_LT(seconds_since(start), 10) << "the client waits 15 s";
+  EXPECT_LT(seconds_since(start), 10) << "the attempt must fail before the client timeout of 15 s";
 }
 
-// A freed connection must not be handed to an attempt that waits for one, with a duplicate of the last
-// response still in it: that attempt would be answered by it. The first response is just what one read takes
-// in.
-TEST(MisbehavingServer, DuplicateResponseDoesNotAnswerTheNextAttempt) {
+// A server that sends a response twice leaves the duplicate unread in the freed connection. The node must not
+// assign that connection to a waiting attempt, which would take the duplicate for its own response. The
+// response has 512 bytes, so that one read of the node takes in exactly the first copy.
+TEST(MisbehavingServer, DuplicateResponseIsNotUsedForTheNextAttempt) {
   FullListener server;
   FakeDiscovery discovery;
   NodeConfig config = config_knowing(server.address(), discovery.address());
@@ -64,9 +64,9 @@
   server.fill_queue();
   two.write(RequestBuilder{.id = "two"}.text());
   ASSERT_TRUE(server.eventually_has_pending_connects(1));
-  std::string answer = http_response(200, "one", "X-Fill: \r\n");
-  answer.insert(answer.find("\r\n\r\n"), std::string(512 - answer.size(), 'x'));
-  first.write(answer + answer);
+  std::string response = http_response(200, "one", "X-Fill: \r\n");
+  response.insert(response.find("\r\n\r\n"), std::string(512 - response.size(), 'x'));
+  first.write(response + response);
   EXPECT_EQ(body_of(one.read_message()), "one");
   Connection second(server.accept());
   EXPECT_EQ(read_request_id(second), "two");
@@ -85,16 +85,16 @@
   for (int i = 0; i < 5; ++i) {
     Connection client = Connection::to(program.port());
     client.write(RequestBuilder{.id = "u" + std::to_string(i)}.text());
-    // The greeting may come just after the request: then nothing tells it from an answer.
-    const std::string answer = client.read_message();
-    EXPECT_FALSE(answer.empty());
+    // The unsolicited response may arrive just after the request; then it looks like the response to it.
+    const std::string response = client.read_message();
+    EXPECT_FALSE(response.empty());
   }
   EXPECT_TRUE(program.is_running());
 }
 
-// A connect to a server that was removed must not bring what waits for it to the one that is at its address
-// now.
-TEST(ServerReplacement, NewServerAtARemovedAddressGetsTheRequestOnce) {
+// A connect to a server that has been removed must not deliver the waiting request to the server that now has
+// the same address.
+TEST(ServerReplacement, NewServerAtTheAddressOfARemovedOneGetsTheRequestOnce) {
   FullListener server;
   FakeDiscovery discovery;
   NodeConfig config = config_knowing(server.address(), discovery.address());
@@ -106,7 +106,7 @@
   ASSERT_TRUE(server.eventually_has_pending_connects(1));
   discovery.send_list(endpoint_list(
       8, false, endpoint("s0", server.address(), "removed") + "," + endpoint("s1", server.address())));
-  // What waited ends as not sent, and goes to the new one by a connect of its own.
+  // The waiting attempt ends as not sent; the request goes to the new server over a connection of its own.
   ASSERT_TRUE(server.eventually_has_pending_connects(2));
   std::vector<Connection> connections;
   connections.reserve(2);
--- a/tests/node/request_accounting_test.cpp
+++ b/tests/node/request_accounting_test.cpp
@@ -1,4 +1,5 @@
-// A connection's request in the node's metrics, without a connection.
+/// @file
+/// Unit tests of RequestAccounting.
 #include "downstream/request_accounting.h"
 
 #include <gtest/gtest.h>
@@ -16,27 +17,27 @@
   return metrics.to_json({});
 }
 
-std::string metrics_of_no_request() {
+std::string metrics_without_requests() {
   return metrics_after([](RequestAccounting&, Metrics&) {});
 }
 
-TEST(RequestAccounting, RequestThatEndsBeforeItsLastByteLeavesNoTrace) {
+TEST(RequestAccounting, RequestThatEndsBeforeItsLastByteIsNotCounted) {
   EXPECT_EQ(metrics_after([](RequestAccounting& accounting, Metrics& metrics) {
               accounting.accept("read");
               accounting.end(metrics, RequestResult::kFailed);
             }),
-            metrics_of_no_request());
+            metrics_without_requests());
 }
 
-TEST(RequestAccounting, StartWithoutARequestLeavesNoTrace) {
+TEST(RequestAccounting, StartWithoutARequestIsNotCounted) {
   EXPECT_EQ(metrics_after([](RequestAccounting& accounting, Metrics& metrics) {
               accounting.start(metrics);
               accounting.end(metrics, RequestResult::kServed);
             }),
-            metrics_of_no_request());
+            metrics_without_requests());
 }
 
-TEST(RequestAccounting, RequestStartedTwiceCountsOnce) {
+TEST(RequestAccounting, RequestStartedTwiceIsCountedOnce) {
   EXPECT_EQ(metrics_after([](RequestAccounting& accounting, Metrics& metrics) {
               accounting.accept("read");
               accounting.start(metrics);
@@ -45,7 +46,7 @@
             metrics_after([](RequestAccounting&, Metrics& metrics) { metrics.request_started(); }));
 }
 
-TEST(RequestAccounting, RequestEndedTwiceCountsOnceWithItsFirstResult) {
+TEST(RequestAccounting, RequestEndedTwiceIsCountedOnceWithItsFirstResult) {
   EXPECT_EQ(metrics_after([](RequestAccounting& accounting, Metrics& metrics) {
               accounting.accept("read");
               accounting.start(metrics);
--- a/tests/node/request_forwarding_test.cpp
+++ b/tests/node/request_forwarding_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a client sees of a request that is forwarded and answered.
+/// Requests that are forwarded to a server: what client and server receive, deadlines and the request log.
 #include <gtest/gtest.h>
 
 #include "node_harness.h"
@@ -10,20 +10,20 @@
 TEST(RequestForwarding, RequestAndResponsePassUnchanged) {
   OneServerDeployment deployment(always_reply(200, "the answer", "Content-Type: text/x-mark\r\n"));
   Connection client = deployment.client();
-  const std::string answer = exchange(
+  const std::string response = exchange(
       client,
       RequestBuilder{
           .request_class = "mark", .body = "payload", .timeout_ms = "9000", .idempotency_key = "k-77"});
-  EXPECT_EQ(status_of(answer), 200) << answer;
-  EXPECT_EQ(body_of(answer), "the answer");
-  EXPECT_EQ(field_of(answer, "Content-Type"), "text/x-mark");
+  EXPECT_EQ(status_of(response), 200) << response;
+  EXPECT_EQ(body_of(response), "the answer");
+  EXPECT_EQ(field_of(response, "Content-Type"), "text/x-mark");
   ASSERT_EQ(deployment.server.requests().size(), 1U);
   const std::string request = deployment.server.requests()[0];
   EXPECT_EQ(request.rfind("POST /mark/k1?x=1 HTTP/1.1\r\n", 0), 0U) << request;
   EXPECT_EQ(field_of(request, "X-Request-ID"), "r1");
   EXPECT_EQ(field_of(request, "Idempotency-Key"), "k-77");
   EXPECT_EQ(body_of(request), "payload");
-  // The time that the node timeout_ms, which is less than what the client does.
+  // The node sends the time it has left, which is less than the timeout that the client sent.
   const int timeout_ms = std::stoi(field_of(request, "X-Timeout-Ms"));
   EXPECT_GT(timeout_ms, 0);
   EXPECT_LT(timeout_ms, 9000);
@@ -50,9 +50,9 @@
     return connection.write(http_response(200, field_of(request, "X-Request-ID")));
   });
   Connection client = deployment.client();
-  std::string all;
-  for (int i = 0; i < 20; ++i) all += RequestBuilder{.id = "r" + std::to_string(i)}.text();
-  client.write(all);
+  std::string requests;
+  for (int i = 0; i < 20; ++i) requests += RequestBuilder{.id = "r" + std::to_string(i)}.text();
+  client.write(requests);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(body_of(client.read_message()), "r" + std::to_string(i));
 }
 
@@ -65,8 +65,8 @@
   EXPECT_TRUE(eventually([&] { return deployment.server.closed_by_node() == 1; }));
 }
 
-// The margin before the client timeout is a part of the time given: a request with little time reaches a
-// server too. One of many is enough, for a machine may be slow.
+// The margin before the client timeout is a fraction of that timeout, so that a request with a short timeout
+// still reaches a server. One success in 200 requests is enough because the machine may be slow.
 TEST(RequestDeadline, RequestWithAShortTimeoutIsStillForwarded) {
   OneServerDeployment deployment;
   Connection client = deployment.client();
@@ -74,15 +74,16 @@
   for (int i = 0; i < 200 && served == 0; ++i) {
     RequestBuilder request = get_request("r" + std::to_string(i));
     request.timeout_ms = "35";
-    const std::string answer = exchange(client, request);
-    ASSERT_FALSE(answer.empty());
-    served += status_of(answer) == 200 ? 1 : 0;
+    const std::string response = exchange(client, request);
+    ASSERT_FALSE(response.empty());
+    served += status_of(response) == 200 ? 1 : 0;
   }
   EXPECT_GT(served, 0);
 }
 
-// The attempt timeout is learned, and short where responses were quick. The server still gets all the time
-// that is left to the client, to share with the tiers behind it.
+// The node learns the attempt timeout from response times, so that it is short after quick responses. The
+// server must still be sent all the time that the client has left, because it shares that time with the tiers
+// behind it.
 TEST(RequestDeadline, QuickResponsesDoNotShortenTheTimeoutSentToTheServer) {
   OneServerDeployment deployment;
   Connection client = deployment.client();
@@ -97,11 +98,11 @@
   EXPECT_GT(forwarded_timeouts.back(), forwarded_timeouts.front() * 9 / 10);
 }
 
-// A request that failed can be followed by its id; one that succeeded leaves no line.
-TEST(RequestLog, FailedRequestIsLoggedWithItsAttempts) {
+// A failed request is logged with its id and attempts; a successful one is not logged.
+TEST(RequestLog, OnlyTheFailedRequestIsLoggedWithItsAttempts) {
   OneServerDeployment deployment([](Connection& connection, const std::string& request) {
-    const bool good = field_of(request, "X-Request-ID") == "good";
-    return connection.write(good ? http_response(200, "ok") : http_response(500, "no"));
+    const bool succeeds = field_of(request, "X-Request-ID") == "good";
+    return connection.write(succeeds ? http_response(200, "ok") : http_response(500, "no"));
   });
   Connection client = deployment.client();
   EXPECT_EQ(status_of(exchange(client, {.id = "good"})), 200);
@@ -112,8 +113,9 @@
   EXPECT_EQ(deployment.program->count_in_log("request good"), 0);
 }
 
-// The timeout of the attempt, its response and the client timeout come together: one answer, or a close.
-TEST(RequestDeadline, TimeoutAndLateResponseTogetherGiveOneAnswer) {
+// The attempt timeout, the response and the client timeout coincide: the client must get exactly one
+// response.
+TEST(RequestDeadline, TimeoutAndLateResponseTogetherGiveOneResponse) {
   OneServerDeployment deployment([](Connection& connection, const std::string& request) {
     std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(field_of(request, "X-Timeout-Ms")) - 1));
     return connection.write(http_response(200, "ok"));
@@ -129,8 +131,8 @@
     const int first = status_of(client.read_message());
     EXPECT_TRUE(first == 200 || first == 502 || first == 503) << first;
     client.write("GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    const std::string rest = client.read_to_end();
-    EXPECT_EQ(body_of(rest), "ok\n") << "nothing but the next response follows";
+    const std::string next = client.read_to_end();
+    EXPECT_EQ(body_of(next), "ok\n") << "only the response to the health check must follow";
   }
 }
 
--- a/tests/node/request_rejection_test.cpp
+++ b/tests/node/request_rejection_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that a node rejects by themselves, without asking a server.
+/// Requests that the node rejects because of their content or id, without sending them to a server.
 #include <gtest/gtest.h>
 
 #include "node_harness.h"
@@ -11,9 +11,9 @@
   OneServerDeployment deployment;
   Connection client = deployment.client();
   client.write(request);
-  const std::string answer = client.read_message();
-  EXPECT_EQ(status_of(answer), status) << answer;
-  EXPECT_TRUE(deployment.server.requests().empty()) << "never forwarded";
+  const std::string response = client.read_message();
+  EXPECT_EQ(status_of(response), status) << response;
+  EXPECT_TRUE(deployment.server.requests().empty()) << "the request must not be forwarded";
   EXPECT_TRUE(deployment.program->is_running());
 }
 
@@ -29,7 +29,7 @@
   expect_rejected(RequestBuilder{.request_class = "unknown"}.text(), 400);
 }
 
-TEST(RequestRejection, ClassOtherThanThePathIsRejected) {
+TEST(RequestRejection, ClassThatDiffersFromThePathIsRejected) {
   expect_rejected(RequestBuilder{.path = "/mark/k1"}.text(), 400);
 }
 
@@ -37,7 +37,7 @@
   expect_rejected("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n", 404);
 }
 
-TEST(RequestRejection, TimeoutThatIsNoNumberIsRejected) {
+TEST(RequestRejection, NonNumericTimeoutIsRejected) {
   expect_rejected(RequestBuilder{.timeout_ms = "soon"}.text(), 400);
 }
 
@@ -49,7 +49,7 @@
   expect_rejected(RequestBuilder{.timeout_ms = "50ms"}.text(), 400);
 }
 
-TEST(RequestRejection, TimeoutBeyondIntegersIsRejected) {
+TEST(RequestRejection, TimeoutBeyondTheIntegerRangeIsRejected) {
   expect_rejected(RequestBuilder{.timeout_ms = "99999999999999999999"}.text(), 400);
 }
 
@@ -69,7 +69,7 @@
   expect_rejected(RequestBuilder{.request_class = "look"}.text(), 400);
 }
 
-TEST(RequestRejection, BodyJustBeyondTheLimitIsTooLarge) {
+TEST(RequestRejection, BodyOneByteOverTheLimitIsTooLarge) {
   expect_rejected(RequestBuilder{.body = "", .fields = "Content-Length: 67108865\r\n"}.text() + "x", 413);
 }
 
@@ -86,7 +86,7 @@
       "POST /close/k HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", 400);
 }
 
-TEST(RequestRejection, IdOfARequestInFlightIsRejected) {
+TEST(RequestRejection, RequestIdThatIsInFlightIsRejected) {
   Gate gate;
   OneServerDeployment deployment(reply_after(gate));
   Connection first = deployment.client();
--- a/tests/node/request_validation_test.cpp
+++ b/tests/node/request_validation_test.cpp
@@ -1,4 +1,5 @@
-// What a request may look like, without a connection.
+/// @file
+/// Unit tests of validate_request(), path_of() and is_length_ambiguous().
 #include "downstream/request_validation.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
   return request_class;
 }
 
-/// `read` and `write` are in force, `old` was before.
+/// `read`, `write` and `pay` are in force; `old` was in force before the last reload.
 RequestCatalog catalog() {
   return {{"read", "write", "pay", "old"},
           {"acme", "zenith"},
@@ -35,8 +36,9 @@
 
 HttpRequest read_request() { return request_of("read", http::verb::get); }
 
-/// The reason why a request is rejected; empty where it is valid.
-std::string reason_of(const HttpRequest& request, AcceptedClasses accepted = AcceptedClasses::kInForce) {
+/// Why a request is rejected; empty if it is valid.
+std::string rejection_reason(const HttpRequest& request,
+                             AcceptedClasses accepted = AcceptedClasses::kInForce) {
   Request event;
   const auto error = validate_request(request, catalog(), accepted, event);
   return error ? error->reason : "";
@@ -48,7 +50,7 @@
   return event;
 }
 
-TEST(RequestValidation, ValidRequestIsReadIntoTheEvent) {
+TEST(RequestValidation, ValidRequestIsConvertedIntoAnEvent) {
   HttpRequest request = read_request();
   request.set("X-Tenant-Id", "zenith");
   request.set("X-Retried", "1");
@@ -62,15 +64,17 @@
   EXPECT_EQ(event.time_left, 2);
 }
 
-TEST(RequestValidation, UnknownTenantIsThatPastTheLast) { EXPECT_EQ(event_of(read_request()).tenant, 2U); }
+TEST(RequestValidation, UnknownTenantGetsTheIndexAfterTheLast) {
+  EXPECT_EQ(event_of(read_request()).tenant, 2U);
+}
 
-TEST(RequestValidation, CostThatIsNoNumberIsIgnored) {
+TEST(RequestValidation, NonNumericCostIsIgnored) {
   HttpRequest request = read_request();
   request.set("X-Cost", "12x");
   EXPECT_FALSE(event_of(request).work);
 }
 
-TEST(RequestValidation, PathOfNoClassWithoutAClassFieldIsNotFound) {
+TEST(RequestValidation, UnknownPathWithoutAClassFieldIsNotFound) {
   HttpRequest request(http::verb::get, "/nowhere", 11);
   Request event;
   const auto error = validate_request(request, catalog(), AcceptedClasses::kInForce, event);
@@ -78,37 +82,41 @@
   EXPECT_EQ(error->status, http::status::not_found);
 }
 
-TEST(RequestValidation, ClassThatIsMissingUnknownTwiceOrNotThatOfThePathIsRejected) {
+TEST(RequestValidation, ClassThatIsMissingUnknownRepeatedOrNotThatOfThePathIsRejected) {
   HttpRequest request = read_request();
   request.erase("X-Priority-Class");
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is missing; it must name the request class of the path");
+  EXPECT_EQ(rejection_reason(request),
+            "X-Priority-Class is missing; it must name the request class of the path");
   request.set("X-Priority-Class", "other");
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is repeated or unknown; it must name one request class");
+  EXPECT_EQ(rejection_reason(request),
+            "X-Priority-Class is repeated or unknown; it must name one request class");
   request.set("X-Priority-Class", "write");
-  EXPECT_EQ(reason_of(request), "X-Priority-Class differs from the path; it must equal the first segment");
+  EXPECT_EQ(rejection_reason(request),
+            "X-Priority-Class differs from the path; it must equal the first segment");
   request.insert("X-Priority-Class", "write");
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is repeated or unknown; it must name one request class");
+  EXPECT_EQ(rejection_reason(request),
+            "X-Priority-Class is repeated or unknown; it must name one request class");
 }
 
-TEST(RequestValidation, TargetThatIsNoPathIsRejected) {
+TEST(RequestValidation, TargetThatIsNotAPathIsRejected) {
   HttpRequest request = read_request();
   request.target("*");
-  EXPECT_EQ(reason_of(request), "request target is not a path; it must start with '/'");
+  EXPECT_EQ(rejection_reason(request), "request target is not a path; it must start with '/'");
 }
 
-TEST(RequestValidation, RequestIdOfUpTo128BytesIsAccepted) {
+TEST(RequestValidation, RequestIdOfUpTo128BytesIsAcceptedAndALongerOrMissingOneRejected) {
   HttpRequest request = read_request();
   request.set("X-Request-ID", std::string(128, 'a'));
-  EXPECT_EQ(reason_of(request), "");
+  EXPECT_EQ(rejection_reason(request), "");
   request.set("X-Request-ID", std::string(129, 'a'));
-  EXPECT_EQ(reason_of(request),
+  EXPECT_EQ(rejection_reason(request),
             "X-Request-ID is missing, repeated, empty or too long; it must have 1 to 128 bytes");
   request.erase("X-Request-ID");
-  EXPECT_EQ(reason_of(request),
+  EXPECT_EQ(rejection_reason(request),
             "X-Request-ID is missing, repeated, empty or too long; it must have 1 to 128 bytes");
 }
 
-TEST(RequestValidation, TimeoutOfTheClientIsBoundedByThatOfTheClass) {
+TEST(RequestValidation, ClientTimeoutIsCappedAtThatOfTheClass) {
   HttpRequest request = read_request();
   request.set("X-Timeout-Ms", "250");
   EXPECT_EQ(event_of(request).time_left, 0.25);
@@ -116,59 +124,60 @@
   EXPECT_EQ(event_of(request).time_left, 2);
 }
 
-TEST(RequestValidation, TimeoutOfZeroOrTenDigitsOrNoNumberIsRejected) {
+TEST(RequestValidation, TimeoutThatIsZeroOrHasTenDigitsOrIsNoWholeNumberIsRejected) {
   HttpRequest request = read_request();
   for (const char* const timeout : {"0", "1000000000", "-1", "1.5", ""}) {
     request.set("X-Timeout-Ms", timeout);
-    EXPECT_EQ(reason_of(request),
+    EXPECT_EQ(rejection_reason(request),
               "X-Timeout-Ms is invalid; it must be one whole number of milliseconds from 1 to 999999999")
         << timeout;
   }
 }
 
-TEST(RequestValidation, MethodThatDoesNotFitTheClassIsRejected) {
-  EXPECT_EQ(reason_of(request_of("read", http::verb::post)),
+TEST(RequestValidation, MethodOrBodyThatDoesNotFitTheClassIsRejected) {
+  EXPECT_EQ(rejection_reason(request_of("read", http::verb::post)),
             "method or body does not fit the request class; it must be GET without a body");
-  EXPECT_EQ(reason_of(request_of("write", http::verb::get)),
+  EXPECT_EQ(rejection_reason(request_of("write", http::verb::get)),
             "method does not fit the request class; it must be POST");
-  EXPECT_EQ(reason_of(request_of("write", http::verb::post)), "");
+  EXPECT_EQ(rejection_reason(request_of("write", http::verb::post)), "");
   HttpRequest with_body = read_request();
   with_body.body() = "x";
-  EXPECT_EQ(reason_of(with_body),
+  EXPECT_EQ(rejection_reason(with_body),
             "method or body does not fit the request class; it must be GET without a body");
 }
 
 TEST(RequestValidation, IdempotencyKeyIsRequiredByItsClassAndRejectedByOthers) {
   HttpRequest pay = request_of("pay", http::verb::post);
   EXPECT_EQ(
-      reason_of(pay),
+      rejection_reason(pay),
       "Idempotency-Key does not fit the request class; it must be one non-empty key or, where the class has "
       "no keys, absent");
   pay.set("Idempotency-Key", "");
   EXPECT_EQ(
-      reason_of(pay),
+      rejection_reason(pay),
       "Idempotency-Key does not fit the request class; it must be one non-empty key or, where the class has "
       "no keys, absent");
   pay.set("Idempotency-Key", "k");
-  EXPECT_EQ(reason_of(pay), "");
+  EXPECT_EQ(rejection_reason(pay), "");
   HttpRequest write = request_of("write", http::verb::post);
   write.set("Idempotency-Key", "k");
   EXPECT_EQ(
-      reason_of(write),
+      rejection_reason(write),
       "Idempotency-Key does not fit the request class; it must be one non-empty key or, where the class has "
       "no keys, absent");
 }
 
-TEST(RequestValidation, PreviousClassIsAcceptedShortlyAfterAReloadOnly) {
+TEST(RequestValidation, PreviousClassIsAcceptedOnlyShortlyAfterAReload) {
   const HttpRequest request = request_of("old", http::verb::get);
-  EXPECT_EQ(reason_of(request), "X-Priority-Class is repeated or unknown; it must name one request class");
+  EXPECT_EQ(rejection_reason(request),
+            "X-Priority-Class is repeated or unknown; it must name one request class");
   const Request event = event_of(request, AcceptedClasses::kInForceOrPrevious);
   EXPECT_EQ(event.request_class, 3U);
   EXPECT_EQ(event.time_left, 5);
 }
 
-TEST(RequestValidation, InvalidRequestIsRejectedByTheClassesInForceAlsoAfterAReload) {
-  EXPECT_EQ(reason_of(request_of("read", http::verb::post), AcceptedClasses::kInForceOrPrevious),
+TEST(RequestValidation, InvalidRequestAfterAReloadIsRejectedByTheClassesInForce) {
+  EXPECT_EQ(rejection_reason(request_of("read", http::verb::post), AcceptedClasses::kInForceOrPrevious),
             "method or body does not fit the request class; it must be GET without a body");
 }
 
@@ -184,7 +193,7 @@
   EXPECT_FALSE(is_length_ambiguous(request));
 }
 
-TEST(RequestLength, ListOfLengthsIsAmbiguous) {
+TEST(RequestLength, RepeatedLengthIsAmbiguous) {
   HttpRequest request = read_request();
   request.set(http::field::content_length, "12, 12");
   EXPECT_TRUE(is_length_ambiguous(request));
@@ -193,7 +202,7 @@
   EXPECT_TRUE(is_length_ambiguous(request));
 }
 
-TEST(RequestLength, ChunkedBesideALengthOrAnotherCodingOrInHttp10IsAmbiguous) {
+TEST(RequestLength, ChunkedWithALengthOrAnotherCodingOrInHttp10IsAmbiguous) {
   HttpRequest request = read_request();
   request.set(http::field::transfer_encoding, "gzip, chunked");
   EXPECT_TRUE(is_length_ambiguous(request));
