--- a/tests/node/lifecycle_race_test.cpp
+++ b/tests/node/lifecycle_race_test.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// What is still owed at the instant at which something ends: docs/lifecycle-races.md has the list. Each race
-/// is forced by the order of the peers' own acts. Where two of them have to reach the node in one turn of its
-/// event loop it is suspended meanwhile: it then finds both, in the order in which they were done.
+/// Races between the end of a client connection, a connect or a time window and an event that comes at the
+/// same moment; docs/lifecycle-races.md lists them. Each test forces its race by the order in which client,
+/// server and discovery act. If two actions must reach the node in one turn of its event loop, the node is
+/// suspended while they happen; after it resumes it finds both, in the order in which they happened.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -13,18 +14,18 @@
 namespace nettleyoke::node {
 namespace {
 
-// What a disconnected client has sent, by FIN or by RST, is not forwarded and not retried.
+// After a client has disconnected, by FIN or by RST, its request must be neither forwarded nor retried.
 class ClientDisconnect : public testing::TestWithParam<bool> {
  protected:
   static void disconnect(Connection& client) { GetParam() ? client.reset() : client.close(); }
-  // The next request that the server gets is one whose client is connected.
-  static void expect_next_request(HeldServerDeployment& node, Connection& server) {
-    Connection connected = node.client();
+  // Expects that the next request the server receives is that of a client that is still connected.
+  static void expect_next_request(HeldServerDeployment& deployment, Connection& server) {
+    Connection connected = deployment.client();
     connected.write(get_request("connected").text());
     EXPECT_EQ(read_request_id(server), "connected");
     server.write(http_response(200, "ok"));
     EXPECT_EQ(body_of(connected.read_message()), "ok");
-    EXPECT_TRUE(node.has_nothing_in_flight());
+    EXPECT_TRUE(deployment.has_nothing_in_flight());
   }
 };
 
@@ -32,130 +33,131 @@
                          [](const auto& with) { return std::string(with.param ? "Reset" : "Fin"); });
 
 TEST_P(ClientDisconnect, WhileAConnectIsPendingDropsTheRequest) {
-  HeldServerDeployment node;
-  node.server.fill_queue();
-  Connection client = node.client();
+  HeldServerDeployment deployment;
+  deployment.server.fill_queue();
+  Connection client = deployment.client();
   client.write(RequestBuilder{.id = "gone"}.text());
-  ASSERT_TRUE(node.server.eventually_has_pending_connects(1));
+  ASSERT_TRUE(deployment.server.eventually_has_pending_connects(1));
   disconnect(client);
-  EXPECT_TRUE(node.logged_disconnect_of("gone"));
-  Connection server(node.server.accept());
-  expect_next_request(node, server);
+  EXPECT_TRUE(deployment.logged_disconnect_of("gone"));
+  Connection server(deployment.server.accept());
+  expect_next_request(deployment, server);
 }
 
-// The attempt has to end in the turn of the event loop in which that is asked for: a connection that comes up
-// a turn later would carry it.
+// The attempt must end in the same turn of the event loop in which it is cancelled: otherwise a connection
+// that is established one turn later would still send the request.
 TEST_P(ClientDisconnect, JustBeforeAConnectCompletesDropsTheRequest) {
-  HeldServerDeployment node(true);
-  node.server.fill_queue();
-  Connection client = node.client();
+  HeldServerDeployment deployment(true);
+  deployment.server.fill_queue();
+  Connection client = deployment.client();
   client.write(RequestBuilder{.id = "gone"}.text());
-  ASSERT_TRUE(node.server.eventually_has_pending_connects(1));
-  node.program->suspend();
+  ASSERT_TRUE(deployment.server.eventually_has_pending_connects(1));
+  deployment.program->suspend();
   disconnect(client);
-  Connection server(node.server.accept());
-  node.program->resume();
-  EXPECT_TRUE(node.logged_disconnect_of("gone"));
-  expect_next_request(node, server);
+  Connection server(deployment.server.accept());
+  deployment.program->resume();
+  EXPECT_TRUE(deployment.logged_disconnect_of("gone"));
+  expect_next_request(deployment, server);
 }
 
 TEST_P(ClientDisconnect, DuringQuarantineOfTheConnectionDropsTheRequest) {
-  HeldServerDeployment node;
-  Connection first = node.client();
-  Connection client = node.client();
+  HeldServerDeployment deployment;
+  Connection first = deployment.client();
+  Connection client = deployment.client();
   first.write(get_request("first").text());
-  Connection server(node.server.accept());
+  Connection server(deployment.server.accept());
   ASSERT_EQ(read_request_id(server), "first");
-  node.program->suspend();
+  deployment.program->suspend();
   server.write(http_response(200, "ok"));
   client.write(RequestBuilder{.id = "gone"}.text());
   disconnect(client);
-  node.program->resume();
+  deployment.program->resume();
   EXPECT_EQ(body_of(first.read_message()), "ok");
-  EXPECT_TRUE(GetParam() || node.logged_disconnect_of("gone"))
-      << "a reset may come before the request is read";
-  expect_next_request(node, server);
+  EXPECT_TRUE(GetParam() || deployment.logged_disconnect_of("gone"))
+      << "a reset may arrive before the node has read the request";
+  expect_next_request(deployment, server);
 }
 
 TEST_P(ClientDisconnect, JustBeforeARetryPreventsIt) {
-  HeldServerDeployment node;
-  Connection client = node.client();
+  HeldServerDeployment deployment;
+  Connection client = deployment.client();
   client.write(get_request("gone").text());
-  Connection server(node.server.accept());
+  Connection server(deployment.server.accept());
   ASSERT_EQ(read_request_id(server), "gone");
-  node.program->suspend();
+  deployment.program->suspend();
   disconnect(client);
   server.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
-  node.program->resume();
-  EXPECT_TRUE(node.logged_disconnect_of("gone"));
-  expect_next_request(node, server);
+  deployment.program->resume();
+  EXPECT_TRUE(deployment.logged_disconnect_of("gone"));
+  expect_next_request(deployment, server);
 }
 
 TEST_P(ClientDisconnect, WithHalfABodySentDropsTheRequest) {
-  HeldServerDeployment node;
-  Connection client = node.client();
+  HeldServerDeployment deployment;
+  Connection client = deployment.client();
   const std::string body(300 * kKibibyte, 'b');
   client.write(RequestBuilder{.id = "gone", .body = body}.text().substr(0, body.size() / 2));
   disconnect(client);
-  Connection other = node.client();
-  other.write(get_request("first").text());
-  Connection server(node.server.accept());
+  Connection next = deployment.client();
+  next.write(get_request("first").text());
+  Connection server(deployment.server.accept());
   EXPECT_EQ(read_request_id(server), "first");
   server.write(http_response(200, "ok"));
-  EXPECT_EQ(body_of(other.read_message()), "ok");
-  expect_next_request(node, server);
+  EXPECT_EQ(body_of(next.read_message()), "ok");
+  expect_next_request(deployment, server);
 }
 
-// The client has to be watched also while nothing more of its body can be read: the pipe is full, and what is
-// behind it is with the node's machine. An end behind bytes that are still the client's can't be known.
-TEST_P(ClientDisconnect, WithHalfABodySentAndAConnectPendingIsNoticed) {
-  HeldServerDeployment node;
-  node.server.fill_queue();
-  Connection client = node.client();
+// The node must detect a disconnect even while it cannot read more of the body: the body pipe is full, and
+// the rest of what the client sent is in the node's socket buffer. The test waits until all bytes are
+// acknowledged, because the node cannot detect a disconnect behind bytes that are still on the client's side.
+TEST_P(ClientDisconnect, WithHalfABodySentAndAConnectPendingIsDetected) {
+  HeldServerDeployment deployment;
+  deployment.server.fill_queue();
+  Connection client = deployment.client();
   client.write(RequestBuilder{.id = "gone", .body = std::string(4 * kMebibyte, 'b')}.text().substr(
       0, kMebibyte + 40 * kKibibyte));
-  ASSERT_TRUE(
-      eventually([&] { return node.server.pending_connects() == 1 && client.unacknowledged_bytes() == 0; }));
+  ASSERT_TRUE(eventually(
+      [&] { return deployment.server.pending_connects() == 1 && client.unacknowledged_bytes() == 0; }));
   disconnect(client);
-  EXPECT_TRUE(node.logged_disconnect_of("gone"));
-  Connection server(node.server.accept());
-  expect_next_request(node, server);
+  EXPECT_TRUE(deployment.logged_disconnect_of("gone"));
+  Connection server(deployment.server.accept());
+  expect_next_request(deployment, server);
 }
 
 TEST_P(ClientDisconnect, DuringAWriteToTheServerWithholdsTheLastByte) {
-  HeldServerDeployment node;
-  Connection client = node.client();
+  HeldServerDeployment deployment;
+  Connection client = deployment.client();
   const std::size_t length = 48 * kMebibyte;
   const std::string text = RequestBuilder{.id = "gone", .body = std::string(length, 'b')}.text();
   client.write_until_blocked(text);
-  Connection server(node.server.accept());
+  Connection server(deployment.server.accept());
   disconnect(client);
-  // A FIN stands behind what the node has no buffer for; a reset is known at once.
-  EXPECT_TRUE(!GetParam() || node.logged_disconnect_of("gone"));
-  EXPECT_LT(server.read_to_end().size(), length) << "its last byte is withheld";
-  EXPECT_TRUE(node.logged_disconnect_of("gone"));
-  EXPECT_TRUE(node.has_nothing_in_flight());
+  // A FIN is queued behind bytes that the node has no buffer for; a reset is visible immediately.
+  EXPECT_TRUE(!GetParam() || deployment.logged_disconnect_of("gone"));
+  EXPECT_LT(server.read_to_end().size(), length) << "the node must withhold the last byte";
+  EXPECT_TRUE(deployment.logged_disconnect_of("gone"));
+  EXPECT_TRUE(deployment.has_nothing_in_flight());
 }
 
-TEST_P(ClientDisconnect, WithMorePipelinedThanIsReadAheadIsNoticed) {
-  HeldServerDeployment node;
-  Connection client = node.client();
-  std::string behind;
-  for (int i = 0; i < 400; ++i) behind += get_request("behind" + std::to_string(i)).text();
-  client.write(get_request("gone").text() + behind);
-  Connection server(node.server.accept());
+TEST_P(ClientDisconnect, WithMorePipelinedThanTheReadAheadBufferHoldsIsDetected) {
+  HeldServerDeployment deployment;
+  Connection client = deployment.client();
+  std::string pipelined;
+  for (int i = 0; i < 400; ++i) pipelined += get_request("behind" + std::to_string(i)).text();
+  client.write(get_request("gone").text() + pipelined);
+  Connection server(deployment.server.accept());
   ASSERT_EQ(read_request_id(server), "gone");
   disconnect(client);
-  EXPECT_TRUE(node.has_nothing_in_flight());
+  EXPECT_TRUE(deployment.has_nothing_in_flight());
   server.write(http_response(200, "late"));
-  EXPECT_TRUE(node.logged_disconnect_of("gone"));
-  expect_next_request(node, server);
+  EXPECT_TRUE(deployment.logged_disconnect_of("gone"));
+  expect_next_request(deployment, server);
 }
 
-// A connection has to be read from again once its request has come out of the read-ahead buffer.
-TEST_P(ClientDisconnect, OfARequestFromTheReadAheadBufferIsNoticed) {
-  HeldServerDeployment node;
-  Connection client = node.client();
+// The node must resume reading from a connection once it has taken the request from the read-ahead buffer.
+TEST_P(ClientDisconnect, OfARequestFromTheReadAheadBufferIsDetected) {
+  HeldServerDeployment deployment;
+  Connection client = deployment.client();
   const std::string fill = "X-Fill: " + std::string(7 * kKibibyte, 'x') + "\r\n";
   std::string text;
   for (const char* id : {"first", "gone", "behind1", "behind2"}) {
@@ -164,21 +166,21 @@
     text += request.text();
   }
   client.write(text);
-  Connection server(node.server.accept());
+  Connection server(deployment.server.accept());
   ASSERT_EQ(read_request_id(server), "first");
   server.write(http_response(200, "ok"));
   EXPECT_EQ(body_of(client.read_message()), "ok");
   ASSERT_EQ(read_request_id(server), "gone");
   disconnect(client);
-  EXPECT_TRUE(node.has_nothing_in_flight());
+  EXPECT_TRUE(deployment.has_nothing_in_flight());
   server.write(http_response(200, "late"));
-  EXPECT_TRUE(node.logged_disconnect_of("gone"));
-  expect_next_request(node, server);
+  EXPECT_TRUE(deployment.logged_disconnect_of("gone"));
+  expect_next_request(deployment, server);
 }
 
-// Where several attempts wait for connections to one server and their connects fail, each failure has to end
-// its own attempt: else one would be left without an answer, and one be in flight twice.
-TEST(ConnectFailure, OfSeveralPendingConnectsFailsEachAttemptOnce) {
+// If several attempts wait for connections to one server and the connects fail, each failure must end its own
+// attempt. Otherwise one request would get no response and another would be in flight twice.
+TEST(ConnectFailure, OfSeveralPendingConnectsEndsEachAttemptOnce) {
   FullListener full;
   FakeServer other(always_reply(200, "ok"));
   FakeDiscovery discovery;
@@ -200,8 +202,9 @@
   for (const auto& [id, count] : requests_by_id) EXPECT_EQ(count, 1) << id;
 }
 
-// A retry that was decided on in time must not go out past the window in which servers recognise it.
-TEST(RetryRace, RetryThatWaitsPastTheDedupWindowIsNotSent) {
+// A retry that was decided on within the dedup window must not be sent after that window: servers no longer
+// recognise it then.
+TEST(RetryRace, RetryThatWaitsForAConnectPastTheDedupWindowIsNotSent) {
   Gate gate;
   FakeServer failing(reply_after(gate, 500, "it may have run"));
   FullListener other;
@@ -220,11 +223,11 @@
   ASSERT_TRUE(program.eventually_reports(R"("hosts_listed":2,)"));
   gate.open();
   ASSERT_TRUE(other.eventually_has_pending_connects(1));
-  std::this_thread::sleep_for(2500ms);  // past the window
+  std::this_thread::sleep_for(2500ms);  // past the dedup window
   Connection server(other.accept());
-  const std::string answer = client.read_message();
-  EXPECT_EQ(status_of(answer), 503)
-      << "every server recognises retries of it, so that rejecting it is harmless";
+  const std::string response = client.read_message();
+  EXPECT_EQ(status_of(response), 503)
+      << "every server recognises retries of this request, so that rejecting it is harmless";
   EXPECT_EQ(server.read_to_end(), "");
 }
 
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// SIGHUP: the configuration is read again, and discovery followed to its new address.
+/// Reload of the configuration on SIGHUP: the discovery address, the settings, and invalid files.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,7 +10,8 @@
 namespace nettleyoke::node {
 namespace {
 
-// The node must not end on SIGHUP, stay with the old address, or trust the list versions of the old one.
+// On SIGHUP the node must not exit, keep the old discovery address, or send the new discovery agent a list
+// version of the old one.
 TEST(Reload, NewDiscoveryAddressIsAskedForACompleteList) {
   FakeServer old_server(always_reply(200, "old"));
   FakeServer new_server(always_reply(200, "new"));
@@ -25,7 +26,7 @@
   ASSERT_FALSE(new_discovery.calls().empty());
   EXPECT_EQ(new_discovery.calls()[0].find("after="), std::string::npos) << new_discovery.calls()[0];
   EXPECT_TRUE(eventually([&] { return deployment.discovery.listener().open_connections() == 0; }))
-      << "the old watch is closed";
+      << "the node must close the old watch";
   EXPECT_EQ(deployment.discovery.calls().size(), 1U);
 }
 
@@ -41,7 +42,7 @@
     })) << deployment.program->log();
   }
   EXPECT_TRUE(deployment.eventually_answers("ok"));
-  // The watch goes on: its events still arrive.
+  // The watch is not interrupted: its events still arrive.
   deployment.discovery.send_list(
       endpoint_list(8, false, endpoint("s0", deployment.server.address(), "draining")));
   EXPECT_TRUE(deployment.eventually_answers_with_status(503));
@@ -49,22 +50,22 @@
 
 TEST(Reload, RepeatedReloadsLeaveOneWatchAtTheLastAddress) {
   OneServerDeployment deployment;
-  FakeDiscovery one;
-  FakeDiscovery two;
+  FakeDiscovery earlier;
+  FakeDiscovery last;
   for (int i = 0; i < 20; ++i) {
     NodeConfig config = deployment.config;
-    config.discovery = (i % 2 == 0 ? one : two).address();
+    config.discovery = (i % 2 == 0 ? earlier : last).address();
     deployment.program->reload(config.text());
     ASSERT_TRUE(deployment.program->is_running());
   }
   EXPECT_TRUE(eventually([&] {
-    return one.listener().open_connections() == 0 &&
-           deployment.discovery.listener().open_connections() == 0 && two.listener().open_connections() == 1;
+    return earlier.listener().open_connections() == 0 &&
+           deployment.discovery.listener().open_connections() == 0 && last.listener().open_connections() == 1;
   }));
   EXPECT_TRUE(deployment.eventually_answers("ok"));
 }
 
-// The backoff that has grown with the failures at the old address must not be waited out.
+// A backoff that has grown with failures at the old address must not delay calls to the new one.
 TEST(Reload, RefusedConnectToTheNewAddressIsRetried) {
   FakeServer old_server(always_reply(200, "old"));
   FakeServer new_server(always_reply(200, "new"));
@@ -79,7 +80,7 @@
   EXPECT_TRUE(deployment.eventually_answers("new"));
 }
 
-TEST(Reload, WhileDrainingDoesNotEndTheProcess) {
+TEST(Reload, DuringGracefulShutdownDoesNotEndTheProcess) {
   Gate gate;
   OneServerDeployment deployment(reply_after(gate));
   Connection client = deployment.client();
@@ -96,7 +97,7 @@
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
-TEST(SettingsReload, AddedClassIsServedAndDroppedOneExpires) {
+TEST(SettingsReload, AddedClassIsServedAndRemovedClassExpires) {
   OneServerDeployment deployment;
   const RequestBuilder touch{.request_class = "touch", .id = "t1", .idempotency_key = "k"};
   EXPECT_EQ(deployment.status_for(touch), 400);
@@ -105,15 +106,16 @@
       class_json("look", "safe") + "," + class_json("touch", "keyed", R"(,"group":"all","dedupWindow":15.0)");
   deployment.reload(config);
   EXPECT_EQ(deployment.status_for(touch), 200);
-  EXPECT_EQ(deployment.status_for({.request_class = "touch", .id = "t2"}), 400) << "no key";
+  EXPECT_EQ(deployment.status_for({.request_class = "touch", .id = "t2"}), 400)
+      << "the idempotency key is missing";
   EXPECT_EQ(deployment.status_for(get_request("l1")), 200);
   int count = 0;
   EXPECT_TRUE(eventually([&] {
     return deployment.status_for({.id = "old" + std::to_string(++count)}) == 400;
-  })) << "a class that is no longer there";
+  })) << "the removed class must be rejected after a while";
 }
 
-// Clients that have not heard of the change yet must not be rejected.
+// Clients that do not have the new settings yet must not be rejected.
 TEST(SettingsReload, RequestsValidUnderThePreviousSettingsAreServedForAWhile) {
   OneServerDeployment deployment;
   NodeConfig config = deployment.config;
@@ -124,8 +126,8 @@
   ASSERT_TRUE(eventually([&] { return deployment.program->count_in_log("reload: ") == 1; }));
   client.write(RequestBuilder{}.text());
   other.write(RequestBuilder{.id = "r2", .method = "GET", .body = ""}.text());
-  EXPECT_EQ(status_of(client.read_message()), 200) << "non-idempotent, as before";
-  EXPECT_EQ(status_of(other.read_message()), 200) << "idempotent, as now";
+  EXPECT_EQ(status_of(client.read_message()), 200) << "non-idempotent under the previous settings";
+  EXPECT_EQ(status_of(other.read_message()), 200) << "idempotent under the new settings";
 }
 
 TEST(SettingsReload, RequestInFlightKeepsItsAttemptLimit) {
@@ -141,59 +143,60 @@
   EXPECT_EQ(status_of(client.read_message()), 503);
   EXPECT_EQ(deployment.server.requests().size(), 3U);
   EXPECT_EQ(deployment.status_for({.id = "after"}), 503);
-  EXPECT_EQ(deployment.server.requests().size(), 4U) << "the next one has a single attempt";
+  EXPECT_EQ(deployment.server.requests().size(), 4U) << "a request after the reload has a single attempt";
 }
 
 struct InvalidFile {
   std::string text;
-  std::string named_in_log;
+  std::string expected_in_log;
 };
 
 TEST(SettingsReload, InvalidFileChangesNothing) {
   FakeServer server(always_reply(200, "ok"));
-  FakeDiscovery elsewhere;
+  FakeDiscovery new_discovery;
   Deployment deployment({&server});
   NodeConfig config = deployment.config;
   config.classes = class_json("look", "safe");
-  config.discovery = elsewhere.address();
-  const std::string good = config.text();
-  const auto replaced = [&](const std::string& what, const std::string& instead) {
-    std::string text = good;
-    EXPECT_NE(text.find(what), std::string::npos) << what;
-    return text.replace(text.find(what), what.size(), instead);
+  config.discovery = new_discovery.address();
+  const std::string valid = config.text();
+  const auto with_replaced = [&](const std::string& from, const std::string& to) {
+    std::string text = valid;
+    EXPECT_NE(text.find(from), std::string::npos) << from;
+    return text.replace(text.find(from), from.size(), to);
   };
   const std::vector<InvalidFile> invalid = {
       {"", "JSON"},
-      {good.substr(0, good.size() / 2), "JSON"},
-      {replaced(R"("maxAttempts":3,)", ""), "maxAttempts"},
-      {replaced(R"("maxAttempts":3)", R"("maxAttempts":0)"), "max_attempts"},
-      {replaced(R"("maxAttempts":3)", R"("maxAttempts":-2)"), "max_attempts"},
-      {replaced(R"("maxAttempts":3)", R"("maxAttempts":"3")"), "maxAttempts"},
-      {replaced(R"("giveUp":15.0,)", ""), "giveUp"},
-      {replaced(R"("giveUp":15.0)", R"("giveUp":0)"), "client_timeout"},
-      {replaced(R"("giveUp":15.0)", R"("giveUp":-1)"), "client_timeout"},
-      {replaced(R"("giveUp":15.0)", R"("giveUp":null)"), "giveUp"},
-      {replaced(R"("giveUp":15.0)", R"("giveUp":true)"), "giveUp"},
-      {replaced(R"("lateWorth":0.5)", R"("extra":0.5)"), "lateWorth"},
-      {replaced(R"("peersTotal":1,)", ""), "peersTotal"},
-      {replaced(R"(,"rules":{"askWithin":10.0})", ""), "rules"},
-      {replaced(R"("seed":"8c1f30d27a5be964",)", ""), "seed"},
+      {valid.substr(0, valid.size() / 2), "JSON"},
+      {with_replaced(R"("maxAttempts":3,)", ""), "maxAttempts"},
+      {with_replaced(R"("maxAttempts":3)", R"("maxAttempts":0)"), "max_attempts"},
+      {with_replaced(R"("maxAttempts":3)", R"("maxAttempts":-2)"), "max_attempts"},
+      {with_replaced(R"("maxAttempts":3)", R"("maxAttempts":"3")"), "maxAttempts"},
+      {with_replaced(R"("giveUp":15.0,)", ""), "giveUp"},
+      {with_replaced(R"("giveUp":15.0)", R"("giveUp":0)"), "client_timeout"},
+      {with_replaced(R"("giveUp":15.0)", R"("giveUp":-1)"), "client_timeout"},
+      {with_replaced(R"("giveUp":15.0)", R"("giveUp":null)"), "giveUp"},
+      {with_replaced(R"("giveUp":15.0)", R"("giveUp":true)"), "giveUp"},
+      {with_replaced(R"("lateWorth":0.5)", R"("extra":0.5)"), "lateWorth"},
+      {with_replaced(R"("peersTotal":1,)", ""), "peersTotal"},
+      {with_replaced(R"(,"rules":{"askWithin":10.0})", ""), "rules"},
+      {with_replaced(R"("seed":"8c1f30d27a5be964",)", ""), "seed"},
   };
   for (std::size_t i = 0; i < invalid.size(); ++i) {
     deployment.program->reload(invalid[i].text);
     ASSERT_TRUE(eventually([&] {
       return deployment.program->count_in_log("the configuration in force is kept") ==
              static_cast<int>(i + 1);
-    })) << invalid[i].named_in_log
+    })) << invalid[i].expected_in_log
         << deployment.program->log();
     const std::string log = deployment.program->log();
-    EXPECT_NE(log.substr(log.rfind("reload: ")).find(invalid[i].named_in_log), std::string::npos) << log;
+    EXPECT_NE(log.substr(log.rfind("reload: ")).find(invalid[i].expected_in_log), std::string::npos) << log;
   }
-  EXPECT_EQ(elsewhere.calls().size(), 0U);
-  std::this_thread::sleep_for(2500ms);  // past the time in which the previous settings are valid too
-  EXPECT_EQ(deployment.status_for({}), 200) << "the classes are those of the start";
+  EXPECT_EQ(new_discovery.calls().size(), 0U);
+  std::this_thread::sleep_for(2500ms);  // longer than the previous classes are accepted
+  EXPECT_EQ(deployment.status_for({}), 200) << "the classes of the start must still be in force";
   deployment.reload(config);
-  EXPECT_TRUE(eventually([&] { return elsewhere.calls().size() == 1; })) << "the complete file is applied";
+  EXPECT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }))
+      << "the valid file must be applied";
 }
 
 }  // namespace
--- a/tests/node/startup_test.cpp
+++ b/tests/node/startup_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The start of a node: configurations that end it, readiness with and without discovery, and SIGTERM before
-/// it listens.
+/// The start of a node: invalid configurations, readiness with and without discovery, a listening address
+/// that is still in use, and SIGTERM before the node listens.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -15,22 +15,22 @@
 namespace nettleyoke::node {
 namespace {
 
-TEST(Startup, InvalidConfigurationEndsTheStartAndNamesTheField) {
-  const auto fails = [](const std::string& config, const std::string& field) {
+TEST(Startup, InvalidConfigurationEndsTheProcessAndTheLogNamesTheField) {
+  const auto expect_startup_failure = [](const std::string& config, const std::string& field) {
     NodeProcess program(config, {.wait_for_start = false});
     EXPECT_EQ(program.exit_status(), 2);
     const std::string log = program.log();
     EXPECT_NE(log.find(field), std::string::npos) << log;
     EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << log;
   };
-  fails("{", "RELAY_CONFIG");
-  fails("{}", "listen");
-  fails(NodeConfig{.listen = "nowhere"}.text(), "listen");
-  fails(NodeConfig{.discovery = "1.2.3.4:999999"}.text(), "discovery");
-  fails(NodeConfig{.known_list = "{\"index\":1}"}.text(), "endpoints");
-  fails(NodeConfig{.bounds = R"("maxAttempts":0)"}.text(), "max_attempts");
-  Listener taken([](Connection&) {});
-  fails(NodeConfig{.listen = taken.address()}.text(), "listen");
+  expect_startup_failure("{", "RELAY_CONFIG");
+  expect_startup_failure("{}", "listen");
+  expect_startup_failure(NodeConfig{.listen = "nowhere"}.text(), "listen");
+  expect_startup_failure(NodeConfig{.discovery = "1.2.3.4:999999"}.text(), "discovery");
+  expect_startup_failure(NodeConfig{.known_list = "{\"index\":1}"}.text(), "endpoints");
+  expect_startup_failure(NodeConfig{.bounds = R"("maxAttempts":0)"}.text(), "max_attempts");
+  Listener address_holder([](Connection&) {});
+  expect_startup_failure(NodeConfig{.listen = address_holder.address()}.text(), "listen");
 }
 
 using Clock = ScriptedDiscovery::Clock;
@@ -38,19 +38,19 @@
 
 constexpr const char* kUnreachable = "127.0.0.1:9";
 
-struct StartScript {
+struct StartupScenario {
   const char* name;
   const char* registry_mode;
   std::vector<Step> discovery_steps = {};
-  bool knows_replaced_servers = false;  // a list of servers that are all gone, else none
+  bool has_outdated_initial_list = false;  // of one server, which no longer exists; else no list
 };
-// NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest looks for
-void PrintTo(const StartScript& script, std::ostream* out) { *out << script.name; }
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest calls the function by this name
+void PrintTo(const StartupScenario& scenario, std::ostream* out) { *out << scenario.name; }
 
-NodeConfig config_of(const StartScript& script, const std::string& discovery) {
-  NodeConfig config = script.knows_replaced_servers ? config_knowing(kUnreachable) : NodeConfig{};
+NodeConfig config_of(const StartupScenario& scenario, const std::string& discovery) {
+  NodeConfig config = scenario.has_outdated_initial_list ? config_knowing(kUnreachable) : NodeConfig{};
   config.discovery = discovery;
-  config.registry_mode = script.registry_mode;
+  config.registry_mode = scenario.registry_mode;
   return config;
 }
 
@@ -60,92 +60,97 @@
   return config;
 }
 
-// A restarted process has to be ready within 10 s, and then know more than servers that were replaced
-// meanwhile.
-double seconds_until_served(const StartScript& script) {
+// A restarted process must be ready within 10 s, and must then use the current servers even if all servers of
+// its initial endpoint list have been replaced.
+double seconds_until_served(const StartupScenario& scenario) {
   FakeServer current(always_reply(200, "new"));
-  ScriptedDiscovery discovery(script.discovery_steps, endpoint("s1", current.address()));
+  ScriptedDiscovery discovery(scenario.discovery_steps, endpoint("s1", current.address()));
   const auto start = Clock::now();
-  const NodeProcess program(config_of(script, discovery.address()).text());
+  const NodeProcess program(config_of(scenario, discovery.address()).text());
   EXPECT_TRUE(eventually([&] { return program.health_status() == 200; }));
   EXPECT_TRUE(eventually_answers(program.port(), "new"));
   return seconds_since(start);
 }
 
-class Readiness : public testing::TestWithParam<StartScript> {};
+class Readiness : public testing::TestWithParam<StartupScenario> {};
 
-// A busy machine makes single runs longer and none shorter: the least of three counts.
-TEST_P(Readiness, IsReachedInTime) {
-  constexpr double kReadyWithinSeconds = 10;
-  double least = 1e9;
-  for (int run = 0; run < 3 && least >= kReadyWithinSeconds && !HasFailure(); ++run) {
-    least = std::min(least, seconds_until_served(GetParam()));
+// A busy machine can only lengthen a run, so that the shortest of three runs counts.
+TEST_P(Readiness, IsReachedWithinTheLimit) {
+  constexpr double kReadinessLimitSeconds = 10;
+  double shortest = 1e9;
+  for (int run = 0; run < 3 && shortest >= kReadinessLimitSeconds && !HasFailure(); ++run) {
+    shortest = std::min(shortest, seconds_until_served(GetParam()));
   }
-  EXPECT_LT(least, kReadyWithinSeconds);
+  EXPECT_LT(shortest, kReadinessLimitSeconds);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     With, Readiness,
     testing::Values(
-        StartScript{"AllServersReplaced", "automatic", {}, true},
-        StartScript{"DiscoveryDownAndAnOldList", "subscribe", std::vector<Step>(3, Step::kReset), true},
-        StartScript{"DiscoveryDownAndNoList", "automatic", std::vector<Step>(9, Step::kReset)},
-        StartScript{"DiscoveryDownAndNoListInSubscribeMode", "subscribe", std::vector<Step>(3, Step::kReset)},
-        StartScript{"SilenceAndAnOldList", "automatic", std::vector<Step>(4, Step::kSilence), true},
-        StartScript{"SilenceAndNoList", "automatic", std::vector<Step>(4, Step::kSilence)},
-        StartScript{"SilenceAndNoListInSubscribeMode", "subscribe", {Step::kSilence, Step::kSilence}},
-        StartScript{"HalfListsAndNoList", "automatic", std::vector<Step>(4, Step::kHalfList)},
-        StartScript{"EmptyLinesAndNoList", "automatic", {Step::kEndlessEmptyLines}}),
-    [](const auto& script) { return std::string(script.param.name); });
-
-TEST(Readiness, KnownListSufficesWhileDiscoveryStaysDown) {
+        StartupScenario{"AllServersReplaced", "automatic", {}, true},
+        StartupScenario{"DiscoveryDownAndAnInitialList", "subscribe", std::vector<Step>(3, Step::kReset),
+                        true},
+        StartupScenario{"DiscoveryDownAndNoList", "automatic", std::vector<Step>(9, Step::kReset)},
+        StartupScenario{"DiscoveryDownAndNoListInSubscribeMode", "subscribe",
+                        std::vector<Step>(3, Step::kReset)},
+        StartupScenario{"DiscoverySilentAndAnInitialList", "automatic", std::vector<Step>(4, Step::kSilence),
+                        true},
+        StartupScenario{"DiscoverySilentAndNoList", "automatic", std::vector<Step>(4, Step::kSilence)},
+        StartupScenario{
+            "DiscoverySilentAndNoListInSubscribeMode", "subscribe", {Step::kSilence, Step::kSilence}},
+        StartupScenario{"HalfListsAndNoList", "automatic", std::vector<Step>(4, Step::kHalfList)},
+        StartupScenario{"EmptyLinesAndNoList", "automatic", {Step::kEndlessEmptyLines}}),
+    [](const auto& scenario) { return std::string(scenario.param.name); });
+
+TEST(Readiness, InitialListSufficesWhileDiscoveryIsDown) {
   NodeProcess program(config_without_discovery().text());
   EXPECT_TRUE(eventually([&] { return program.health_status() == 200; }));
 }
 
-// A node on the address of another that serves. It calls discovery while it waits for the address.
+// A node that is configured with the addresses of a running one. It calls discovery while it waits for its
+// listening address to become free.
 struct Successor {
   Successor() {
-    NodeConfig config = first.config;
-    config.listen = "127.0.0.1:" + std::to_string(first.program->port());
-    config.admin = "127.0.0.1:" + std::to_string(first.program->admin_port());
+    NodeConfig config = predecessor.config;
+    config.listen = "127.0.0.1:" + std::to_string(predecessor.program->port());
+    config.admin = "127.0.0.1:" + std::to_string(predecessor.program->admin_port());
     config.discovery = discovery.address();
     program = std::make_unique<NodeProcess>(config.text(), StartOptions{.wait_for_start = false});
     EXPECT_TRUE(eventually([&] { return discovery.calls().size() == 1; })) << program->log();
   }
   FakeServer server{always_reply(200, "ok")};
   FakeDiscovery discovery;
-  Deployment first{{&server}, NodeConfig{.admin = "127.0.0.1:0"}};
+  Deployment predecessor{{&server}, NodeConfig{.admin = "127.0.0.1:0"}};
   std::unique_ptr<NodeProcess> program;
 };
 
-// A process that finds its address taken by its predecessor, which drains and has clients left, must not end
-// for that.
-TEST(Readiness, ProcessWaitsForTheAddressOfADrainingPredecessor) {
-  Successor next;
-  Connection idle = next.first.client();
+// A process must not exit because its address is held by a predecessor that is in graceful shutdown and still
+// has clients.
+TEST(Readiness, ProcessWaitsForTheAddressOfAPredecessorInGracefulShutdown) {
+  Successor successor;
+  Connection idle = successor.predecessor.client();
   EXPECT_EQ(status_of(exchange(idle, {.id = "before"})), 200);
-  next.first.program->signal(SIGTERM);
-  ASSERT_TRUE(eventually([&] { return next.program->port() != 0; })) << next.program->log();
-  EXPECT_TRUE(eventually([&] { return next.program->health_status() == 200; }));
-  EXPECT_EQ(next.first.program->exit_status(), 0);
-  EXPECT_TRUE(eventually([&] { return next.program->admin_port() != 0; })) << next.program->log();
-  EXPECT_TRUE(eventually([&] { return next.program->admin_command("READY").starts_with("YES"); }));
+  successor.predecessor.program->signal(SIGTERM);
+  ASSERT_TRUE(eventually([&] { return successor.program->port() != 0; })) << successor.program->log();
+  EXPECT_TRUE(eventually([&] { return successor.program->health_status() == 200; }));
+  EXPECT_EQ(successor.predecessor.program->exit_status(), 0);
+  EXPECT_TRUE(eventually([&] { return successor.program->admin_port() != 0; })) << successor.program->log();
+  EXPECT_TRUE(eventually([&] { return successor.program->admin_command("READY").starts_with("YES"); }));
 }
 
 TEST(Startup, SigtermWhileWaitingForTheAddressEndsWithSuccess) {
-  Successor next;
-  next.program->signal(SIGTERM);
-  EXPECT_EQ(next.program->exit_status(), 0) << next.program->log();
-  EXPECT_EQ(next.first.program->health_status(), 200) << "the predecessor goes on serving";
+  Successor successor;
+  successor.program->signal(SIGTERM);
+  EXPECT_EQ(successor.program->exit_status(), 0) << successor.program->log();
+  EXPECT_EQ(successor.predecessor.program->health_status(), 200) << "the predecessor must continue to serve";
 }
 
-// Here as the node waits for its configuration, which comes through a pipe.
+// SIGTERM arrives while the node waits for its configuration, which it reads from a pipe.
 TEST(Startup, SigtermBeforeTheConfigurationIsReadEndsWithSuccess) {
   const std::string pipe = testing::TempDir() + "/term_" + std::to_string(getpid());
   ASSERT_EQ(::mkfifo(pipe.c_str(), 0600), 0);
   NodeProcess program("", {.wait_for_start = false, .environment = {{"RELAY_CONFIG", pipe}}});
-  std::ofstream config(pipe);  // comes to be open once the other side reads
+  std::ofstream config(pipe);  // blocks until the node opens the pipe
   program.signal(SIGTERM);
   config << config_without_discovery().text();
   config.close();
--- a/tests/node/takeover_test.cpp
+++ b/tests/node/takeover_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// A second process that takes over from the first, on one listening socket and with one set of disabled
-/// servers.
+/// Process takeover: a second process takes over from the first, with which it shares the listening socket
+/// and the set of disabled servers.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 namespace nettleyoke::node {
 namespace {
 
-// The clients' listening socket, held by the test as the platform holds it.
+// Stands in for the platform, which holds the listening socket for clients and the directory of shared state.
 struct Platform {
   Platform() : listener(new_tcp_socket()) {
     static std::atomic<int> count = 0;
@@ -30,7 +30,7 @@
                             {"RELAY_LISTEN_FD", std::to_string(NodeProcess::kInheritedListenerFd)}},
             .inherited_listener = listener.get()};
   }
-  // An older build and a newer one share this file, so that its name stays.
+  // The name must not change, because processes of an older and a newer build share this file.
   std::string disabled_servers_path() const { return directory + "/thymewood-disabled.json"; }
   FileDescriptor listener;
   std::string directory;
@@ -43,48 +43,51 @@
     return connection.write(http_response(200, "ok"));
   });
   const Platform platform;
-  Deployment old({&server}, with_admin_server(), platform.start_options());
-  Connection busy = old.client();
-  Connection idle = old.client();
+  Deployment old_node({&server}, with_admin_server(), platform.start_options());
+  Connection busy = old_node.client();
+  Connection idle = old_node.client();
   busy.write(RequestBuilder{.id = "slow"}.text());
   EXPECT_EQ(status_of(exchange(idle, {.id = "first"})), 200);
   ASSERT_TRUE(server.eventually_received(2));
 
-  NodeProcess next(old.config.text(), platform.start_options());
-  EXPECT_EQ(next.port(), old.program->port());
-  EXPECT_TRUE(eventually([&] { return next.admin_command("READY") == "YES\n"; }));
-  old.program->signal(SIGTERM);
-  EXPECT_TRUE(eventually([&] { return old.program->admin_command("READY").substr(0, 3) == "NO "; }));
-  // An open connection is served once more and closed with the response; new ones go to the next process.
+  NodeProcess new_node(old_node.config.text(), platform.start_options());
+  EXPECT_EQ(new_node.port(), old_node.program->port());
+  EXPECT_TRUE(eventually([&] { return new_node.admin_command("READY") == "YES\n"; }));
+  old_node.program->signal(SIGTERM);
+  EXPECT_TRUE(eventually([&] { return old_node.program->admin_command("READY").substr(0, 3) == "NO "; }));
+  // The old process serves one more request on an open connection and closes it with the response; new
+  // connections go to the new process.
   const std::string last = exchange(idle, {.id = "second"});
   EXPECT_EQ(status_of(last), 200);
   EXPECT_EQ(field_of(last, "Connection"), "close");
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(status_of(old.answer_to({.id = "new" + std::to_string(i)})), 200);
-  EXPECT_GE(count_by_class(next, "success", "close"), 20);
+  for (int i = 0; i < 20; ++i)
+    EXPECT_EQ(status_of(old_node.answer_to({.id = "new" + std::to_string(i)})), 200);
+  EXPECT_GE(count_by_class(new_node, "success", "close"), 20);
   gate.open();
   EXPECT_EQ(status_of(busy.read_message()), 200);
-  EXPECT_EQ(old.program->exit_status(), 0);
-  EXPECT_EQ(status_of(old.answer_to({.id = "after"})), 200) << "the socket outlives the old process";
+  EXPECT_EQ(old_node.program->exit_status(), 0);
+  EXPECT_EQ(status_of(old_node.answer_to({.id = "after"})), 200)
+      << "the listening socket must outlive the old process";
 }
 
 TEST(Takeover, DisabledServersAreSharedAndOutliveTheOldProcess) {
   FakeServer one(always_reply(200, "one"));
   FakeServer two(always_reply(200, "two"));
   const Platform platform;
-  Deployment old({&one, &two}, with_admin_server(), platform.start_options());
-  EXPECT_EQ(old.program->admin_command("DISABLE s0"), "YES\n");
-  const NodeProcess next(old.config.text(), platform.start_options());
-  EXPECT_EQ(metric(next, "hosts_down"), 1) << "from the start";
-  EXPECT_EQ(next.admin_command("DISABLE s1"), "YES\n");
-  EXPECT_TRUE(eventually([&] { return metric(*old.program, "hosts_down") == 2; }));
-  EXPECT_EQ(old.program->admin_command("ENABLE s0"), "YES\n");
-  EXPECT_TRUE(eventually([&] { return metric(next, "hosts_down") == 1; }));
-  old.program->signal(SIGTERM);
-  EXPECT_EQ(old.program->exit_status(), 0);
-  EXPECT_EQ(body_of(old.answer_to({.id = "left"})), "one");
+  Deployment old_node({&one, &two}, with_admin_server(), platform.start_options());
+  EXPECT_EQ(old_node.program->admin_command("DISABLE s0"), "YES\n");
+  const NodeProcess new_node(old_node.config.text(), platform.start_options());
+  EXPECT_EQ(metric(new_node, "hosts_down"), 1) << "the new process must have the shared set from its start";
+  EXPECT_EQ(new_node.admin_command("DISABLE s1"), "YES\n");
+  EXPECT_TRUE(eventually([&] { return metric(*old_node.program, "hosts_down") == 2; }));
+  EXPECT_EQ(old_node.program->admin_command("ENABLE s0"), "YES\n");
+  EXPECT_TRUE(eventually([&] { return metric(new_node, "hosts_down") == 1; }));
+  old_node.program->signal(SIGTERM);
+  EXPECT_EQ(old_node.program->exit_status(), 0);
+  EXPECT_EQ(body_of(old_node.answer_to({.id = "left"})), "one");
 }
 
-TEST(Takeover, MalformedSharedStateIsIgnored) {
+TEST(Takeover, MalformedFileOfDisabledServersIsIgnored) {
   FakeServer server(always_reply(200, "ok"));
   const Platform platform;
   for (const char* text : {"", "{", "[1]", R"({"disabled":[7]})", R"({"disabled":"s0"})"}) {
@@ -96,7 +99,7 @@
   }
 }
 
-TEST(Takeover, WithoutWritableStateDisablingHoldsInTheProcess) {
+TEST(Takeover, WithoutAWritableDirectoryDisablingAppliesToTheProcess) {
   FakeServer server(always_reply(200, "ok"));
   Deployment deployment({&server}, with_admin_server(), {.environment = {{"TMPDIR", "/nowhere/at/all"}}});
   EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
@@ -104,7 +107,7 @@
   EXPECT_EQ(deployment.program->count_in_log("cannot write"), 1);
 }
 
-TEST(Takeover, DescriptorThatIsNoListenerEndsTheStart) {
+TEST(Takeover, InvalidInheritedListenerEndsTheProcess) {
   const FileDescriptor plain(::open("/dev/null", O_RDONLY));
   for (const char* text : {"7", "x", "-1", "1000000"}) {
     NodeProcess program(NodeConfig{}.text(), {.wait_for_start = false,
--- a/tests/node/watch_notification_test.cpp
+++ b/tests/node/watch_notification_test.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// The time within which a change has to reach the node, by path: docs/lifecycle-races.md has the sums. Each
-/// path is forced by what discovery does with one call after another, and is over with the call that it
-/// answers. A busy machine makes single runs longer and none shorter than the sum: where one of three keeps
-/// the bound, the timeouts and backoffs of the node do.
+/// Bounds on the time until a change of the endpoint list reaches the node after discovery has failed in
+/// different ways; docs/lifecycle-races.md derives them. Each test forces a failure path by scripting what
+/// discovery does with consecutive calls, and measures until the call that discovery answers. A busy machine
+/// can only lengthen a run: if one of three runs is within the bound, so are the node's timeouts and
+/// backoffs.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,7 +27,7 @@
   const char* registry_mode;
   std::vector<Step> steps = {};
 };
-// NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest looks for
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest calls the function by this name
 void PrintTo(const WatchScript& script, std::ostream* out) { *out << script.name; }
 std::string name_of(const testing::TestParamInfo<WatchScript>& script) { return script.param.name; }
 
@@ -36,20 +37,20 @@
   return config;
 }
 
-// The least of three runs, or the first within the bound.
+// Runs up to three times, until a run is within the bound; expects that the shortest run is.
 void expect_within(double bound_seconds, double (*run)(const WatchScript&), const WatchScript& script) {
-  double least = 1e9;
-  for (int i = 0; i < 3 && least >= bound_seconds && !testing::Test::HasFailure(); ++i) {
-    least = std::min(least, run(script));
+  double shortest = 1e9;
+  for (int i = 0; i < 3 && shortest >= bound_seconds && !testing::Test::HasFailure(); ++i) {
+    shortest = std::min(shortest, run(script));
   }
-  EXPECT_LT(least, bound_seconds);
+  EXPECT_LT(shortest, bound_seconds);
 }
 
-constexpr double kNotifiedWithinSeconds = 6;        // after the end of a watch
-constexpr double kReloadNotifiedWithinSeconds = 4;  // after SIGHUP
+// The times after which a change counts as notified.
+constexpr double kNotifiedWithinSeconds = 6;        // from the end of a watch
+constexpr double kReloadNotifiedWithinSeconds = 4;  // from SIGHUP
 
-// Timeouts and backoffs of calls in a row must not add up to more than the time after which a change counts
-// as notified.
+// The timeouts and backoffs of consecutive calls must not add up to more than the bound.
 double seconds_until_notified(const WatchScript& script) {
   ScriptedDiscovery discovery(script.steps, endpoint("s0", kUnreachable));
   const NodeProcess program(config_of(script, discovery.address()).text());
@@ -57,7 +58,7 @@
 }
 
 class WatchNotification : public testing::TestWithParam<WatchScript> {};
-TEST_P(WatchNotification, ArrivesInTime) {
+TEST_P(WatchNotification, ArrivesWithinTheBound) {
   expect_within(kNotifiedWithinSeconds, seconds_until_notified, GetParam());
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -71,7 +72,7 @@
         WatchScript{"TrickleInSubscribeMode", "subscribe", {Step::kOneEmptyLine, Step::kTrickle}}),
     name_of);
 
-// A connect must not hang for as long as an open watch may be silent.
+// The node must not wait for a connect for as long as it tolerates silence on an open watch.
 double seconds_until_second_connect(const WatchScript& script) {
   FullListener discovery;
   const NodeProcess program(config_of(script, discovery.address()).text());
@@ -86,11 +87,11 @@
   }));
   return seconds_since(silent_since);
 }
-TEST(WatchNotification, ArrivesInTimeAfterSilenceAndAHangingConnect) {
+TEST(WatchNotification, ArrivesWithinTheBoundAfterSilenceAndAHangingConnect) {
   expect_within(kNotifiedWithinSeconds, seconds_until_second_connect, {"Connect", "automatic"});
 }
 
-// Calls at a new address must not add up to more than the time after which a change counts as notified.
+// The timeouts and backoffs of calls to a new address must not add up to more than the bound.
 double seconds_until_notified_by_new_discovery(const WatchScript& script) {
   FakeDiscovery old_discovery;
   ScriptedDiscovery new_discovery(script.steps, endpoint("s0", kUnreachable));
@@ -104,20 +105,20 @@
 }
 
 class ReloadNotification : public testing::TestWithParam<WatchScript> {};
-TEST_P(ReloadNotification, ArrivesInTime) {
+TEST_P(ReloadNotification, ArrivesWithinTheBound) {
   expect_within(kReloadNotifiedWithinSeconds, seconds_until_notified_by_new_discovery, GetParam());
 }
 INSTANTIATE_TEST_SUITE_P(
     After, ReloadNotification,
     testing::Values(WatchScript{"Silences", "automatic", {Step::kSilence, Step::kSilence}},
                     WatchScript{"HalfLists", "automatic", {Step::kHalfList, Step::kHalfList}},
-                    WatchScript{"EmptyLinesAlone", "automatic", {Step::kEndlessEmptyLines}},
+                    WatchScript{"EmptyLinesOnly", "automatic", {Step::kEndlessEmptyLines}},
                     WatchScript{"SilenceInSubscribeMode", "subscribe", {Step::kSilence}},
                     WatchScript{"HalfListsInSubscribeMode", "subscribe", {Step::kHalfList, Step::kHalfList}},
                     WatchScript{"ResetsInSubscribeMode", "subscribe", std::vector<Step>(8, Step::kReset)}),
     name_of);
 
-// A backoff that has grown must not go on: after five resets it is 2 s at least.
+// A reload must end a backoff that has grown: after five resets it is at least 2 s.
 double seconds_until_called_again(const WatchScript& script) {
   ScriptedDiscovery discovery(script.steps, endpoint("s0", kUnreachable));
   const NodeConfig config = config_of(script, discovery.address());
@@ -132,8 +133,8 @@
                 {"Backoff", "subscribe", std::vector<Step>(5, Step::kReset)});
 }
 
-// A server that is draining must not get what had waited for a connect to it since before.
-TEST(WatchNotification, DrainWhileAConnectIsPendingSendsTheServerNothing) {
+// A server that starts draining must not get a request that is still waiting for a connect to it.
+TEST(WatchNotification, ServerThatStartsDrainingDuringAConnectIsSentNothing) {
   FullListener server;
   FakeDiscovery discovery;
   NodeConfig config = config_knowing(server.address(), discovery.address());
@@ -145,11 +146,12 @@
   client.write(RequestBuilder{}.text());
   ASSERT_TRUE(server.eventually_has_pending_connects(1));
   ASSERT_TRUE(discovery.send_list(endpoint_list(8, false, endpoint("s0", server.address(), "draining"))));
-  ASSERT_TRUE(eventually([&] { return program.health_status() == 503; })) << "the list is known";
+  ASSERT_TRUE(eventually([&] { return program.health_status() == 503; }))
+      << "the node must have received the list";
   Connection late_connect(server.accept());
   ASSERT_TRUE(late_connect.is_open());
   EXPECT_EQ(late_connect.read_to_end(), "");
-  EXPECT_EQ(status_of(client.read_message()), 503) << "it never ran";
+  EXPECT_EQ(status_of(client.read_message()), 503) << "the request was not sent";
 }
 
 }  // namespace
