--- a/node/downstream/client_connection.cpp
+++ b/node/downstream/client_connection.cpp
@@ -26,7 +26,8 @@
 
 namespace {
 
-/// Bytes that are discarded after the last response before the connection is closed.
+/// Bytes that a client may still send after the last response; they are discarded. With more the connection
+/// is closed at once.
 constexpr std::size_t kMaxLingeredBytes = std::size_t{256} * 1024;
 
 /// Sends as many bytes as the socket takes without blocking.
@@ -325,8 +326,8 @@
   return false;
 }
 
-// Suspends the client's deadline until the pipe has space: the server is slower than the client, which must
-// not time out for that.
+// Suspends the read deadline until the pipe has space: the server reads more slowly than the client sends,
+// and the client must not time out because of that.
 void ClientConnection::wait_for_upload_space() {
   cancel_timer(deadline_);
   reader_.upload()->when_writable([weak = weak_from_this()] {
--- a/node/downstream/client_connection_requests.cpp
+++ b/node/downstream/client_connection_requests.cpp
@@ -111,7 +111,7 @@
 // start of the next request is unknown.
 void ClientConnection::reject(const RequestError& error, Framing framing) {
   if (framing == Framing::kLost) is_keep_alive_ = false;
-  // The error occurred in a body that is being streamed for a dispatched request.
+  // The error is in the streamed body of a request that is already dispatched: the request cannot complete.
   if (state_ == State::kAwaitingFinalAnswer) context_->dispatcher.on_client_disconnected(request_id_);
   is_pause_due_ = true;
   respond(text_response(error.status, std::string(error.reason) + "\n"));
@@ -119,7 +119,7 @@
 
 void ClientConnection::reject_overload() { respond(overload_response(context_->rules.overload_retry_after)); }
 
-// Ends the request: from here on nothing more of its body is taken, even if it is incomplete.
+// Ends the request: no more of its body is accepted, even if it is incomplete.
 void ClientConnection::begin_response() {
   if (has_sent_valid_request_) eviction_entry_.remove();
   enter(State::kWriting);
--- a/node/downstream/connection_admission.cpp
+++ b/node/downstream/connection_admission.cpp
@@ -68,8 +68,8 @@
   });
 }
 
-// Handles an accept that failed because no descriptor was free. Without this the listener would stay readable
-// and the event loop would spin, while the clients in its queue would wait for nothing. Evicts a connection,
+// Handles an accept that failed because no descriptor was free. A mere retry would make the event loop spin,
+// because the listener stays readable, and the clients in its queue would wait in vain. Evicts a connection,
 // or else releases the reserved descriptor to accept one client and reject its request, which may have
 // arrived already. The system reports the missing descriptor even if the queue is empty. In that case the
 // descriptor is reserved again at once: left free, it would admit the next client as one that can be served,
@@ -117,8 +117,8 @@
 }
 
 // Closing the listener resets the connections in its queue, even those that have sent a request. Therefore
-// accepts until the queue is empty before closing it. If no descriptor is free, accept() calls this again
-// when a connection has closed.
+// accepts until the queue is empty before closing it. If the limits or a missing descriptor stop this loop,
+// accept() calls this function again when a connection has closed or the retry timer has expired.
 void ConnectionAdmission::stop_accepting() {
   is_stopping_ = true;
   error_code error;
--- a/node/downstream/connection_admission.h
+++ b/node/downstream/connection_admission.h
@@ -17,8 +17,11 @@
 class ConnectionAdmission {
  public:
   struct Limits {
-    std::size_t connections = 0;  ///< at this number a new one evicts another, or else is rejected
-    std::size_t overflow = 0;     ///< connections that may be open beyond `connections`; then accepting stops
+    /// When this many are open, a new connection evicts another or, if none may be evicted, is rejected.
+    std::size_t connections = 0;
+    /// Further connections, which are accepted only to be sent a rejection. At the sum of both, accepting
+    /// stops.
+    std::size_t rejected_connections = 0;
   };
 
   /// @param context  must outlive this object; need not be fully constructed before start().
@@ -48,15 +51,17 @@
   bool is_listening() const { return acceptor_.is_open(); }
   bool has_connections() const { return !connections_.empty(); }
   bool is_listener_inherited() const { return is_listener_inherited_; }
-  /// Whether fewer connections are free (without a request) than a graceful shutdown keeps free. During a
-  /// shutdown no new connections come, and a client that finds none free once abandons the node for good,
-  /// though the node could serve it for seconds. More than one is kept free, because several clients may send
-  /// a request before the first rejected one can use its connection again.
+  /// Whether fewer connections are free (without a request) than a graceful shutdown keeps free. A shutdown
+  /// soon stops accepting connections, and a client that finds none free even once stops using the node for
+  /// good, although the node could serve it for seconds. More than one is kept free, because several clients
+  /// may send a request before the first rejected one can use its connection again.
   bool is_short_of_free_connections() const;
   boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
  private:
-  bool may_open_connection() const { return connections_.size() < limits_.connections + limits_.overflow; }
+  bool may_open_connection() const {
+    return connections_.size() < limits_.connections + limits_.rejected_connections;
+  }
   void accept();
   void on_accept_failed();
   void admit(boost::asio::ip::tcp::socket socket);
--- a/node/downstream/connection_context.h
+++ b/node/downstream/connection_context.h
@@ -1,6 +1,6 @@
 /// @file
-/// State that all connections of one listener share. Valid for as long as a connection refers to it: a
-/// connection drops its reference when it closes or is detached.
+/// State that all connections of one listener share. It must outlive each connection's use of it, which ends
+/// when the connection closes or is detached.
 #pragma once
 
 #include <array>
@@ -17,7 +17,7 @@
 class ConnectionAdmission;
 class GracefulShutdown;
 
-/// The rules that a reload replaces. A request that was accepted earlier keeps the rules of its acceptance.
+/// The rules that a reload replaces. A request keeps the rules that were in force when it was accepted.
 struct RequestRules {
   RequestCatalog catalog;
   double overload_retry_after = 0;  ///< s; Retry-After when rejecting for lack of capacity; 0: none
--- a/node/downstream/downstream_server.cpp
+++ b/node/downstream/downstream_server.cpp
@@ -21,7 +21,7 @@
                admission_,
                shutdown_,
                {std::move(catalog), limits.overload_retry_after}},
-      admission_({limits.connections, limits.overflow}, context_),
+      admission_({limits.connections, limits.rejected_connections}, context_),
       shutdown_(io, admission_, dispatcher) {}
 
 void DownstreamServer::replace_catalog(RequestCatalog catalog, double overload_retry_after) {
--- a/node/downstream/downstream_server.h
+++ b/node/downstream/downstream_server.h
@@ -22,8 +22,11 @@
 class DownstreamServer {
  public:
   struct Limits {
-    std::size_t connections = 0;  ///< at this number a new one evicts another, or else is rejected
-    std::size_t overflow = 0;     ///< connections that may be open beyond `connections`; then accepting stops
+    /// When this many are open, a new connection evicts another or, if none may be evicted, is rejected.
+    std::size_t connections = 0;
+    /// Further connections, which are accepted only to be sent a rejection. At the sum of both, accepting
+    /// stops.
+    std::size_t rejected_connections = 0;
     double overload_retry_after = 0;  ///< s; Retry-After when rejecting for lack of capacity; 0: none
   };
 
@@ -43,7 +46,7 @@
   void start() { admission_.start(); }
   boost::asio::ip::tcp::endpoint local_endpoint() const { return admission_.local_endpoint(); }
 
-  /// Applies the rules of a reload. Requests that were accepted earlier keep the rules of their acceptance.
+  /// Applies the rules of a reload. A request keeps the rules that were in force when it was accepted.
   /// @param overload_retry_after  as in Limits.
   void replace_catalog(RequestCatalog catalog, double overload_retry_after);
   const RequestCatalog& catalog() const { return context_.rules.catalog; }
--- a/node/downstream/eviction_queue.h
+++ b/node/downstream/eviction_queue.h
@@ -61,10 +61,10 @@
   /// Evicts the connection whose loss does the least harm.
   ///
   /// If only idle time counted, hundreds of connections that send nothing would displace clients that wait
-  /// between two requests. Therefore unproven connections go first, the oldest before the others. However, an
-  /// unproven connection may take 2 s to send its first request, and clients that sent one request and stay
-  /// connected would displace it. Therefore connections that have been idle for the permitted period go
-  /// before an unproven one that is not quiet.
+  /// between two requests. Therefore unproven connections are evicted first, starting with the oldest.
+  /// However, an unproven connection may take 2 s to send its first request, and clients that sent one
+  /// request and stay connected would displace it. Therefore an unproven connection that is not quiet is
+  /// evicted only after the connections that have been idle for the permitted period.
   /// @return false if no connection may be closed.
   [[nodiscard]] bool evict_one() {
     return evict_first(unproven_, kUnprovenQuietPeriod) || evict_first(idle_, kIdleQuietPeriod) ||
--- a/node/downstream/graceful_shutdown.cpp
+++ b/node/downstream/graceful_shutdown.cpp
@@ -15,13 +15,14 @@
 
 namespace {
 
-/// From the start; clients of classes with a longer timeout get their response by then too.
+/// Upper bound of a client's wait, counted from the start of the shutdown. Clients of classes with a longer
+/// timeout also get their response by then, or at most kLastResponseMargin later.
 constexpr Seconds kMaxClientWait{3.0};
-/// From the longest client wait to the last response.
+/// From the end of the longest client wait to the time when the last response is due.
 constexpr Seconds kLastResponseMargin{0.35};
-/// From the closing of the connections to the longest client wait.
+/// From the closing of the idle connections to the end of the longest client wait.
 constexpr Seconds kLastRequestMargin{0.2};
-/// From the start to closing the listener.
+/// From the start of the shutdown to the closing of the listener.
 constexpr Seconds kAcceptPeriod{0.5};
 
 /// The longest client timeout of the classes in force, at most kMaxClientWait. Classes that are no longer in
--- a/node/downstream/graceful_shutdown.h
+++ b/node/downstream/graceful_shutdown.h
@@ -15,9 +15,9 @@
 
 class ConnectionAdmission;
 
-/// The process is killed 0.7 s after the longest client timeout, which counts as 3 s at most. Each accepted
-/// request must have its response by then. Clients keep using their connections for as long as these stay
-/// open, and without a second node they have no alternative.
+/// After the start of a shutdown, the process is killed once the longest client timeout (3 s if it is longer)
+/// and another 0.7 s have passed. Each accepted request must have its response by then. Clients keep using
+/// their connections for as long as these stay open, and without a second node they have no alternative.
 class GracefulShutdown {
  public:
   using Seconds = std::chrono::duration<double>;
@@ -28,7 +28,7 @@
   GracefulShutdown& operator=(const GracefulShutdown&) = delete;
 
   /// Starts the shutdown; no effect if it has started.
-  /// @param catalog  the client timeouts of its classes in force determine the duration.
+  /// @param catalog  the client timeouts of its classes in force determine how long the shutdown takes.
   /// @param done  posted to the event loop once no listener and no connection is left.
   void start(const RequestCatalog& catalog, std::function<void()> done);
   /// Posts `done` once, if the shutdown has started and no listener and no connection is left.
--- a/node/downstream/request_accounting.h
+++ b/node/downstream/request_accounting.h
@@ -1,6 +1,7 @@
 /// @file
 /// Counts the request in progress on one connection in the metrics, so that each request that was counted as
-/// started is counted as ended exactly once. Owns the name of its class; does not affect the request itself.
+/// started is counted as ended exactly once. Owns the name of the request's class; does not affect the
+/// request itself.
 #pragma once
 
 #include <optional>
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -17,14 +17,14 @@
 constexpr double kMinBodyBytesPerSecond = 32e3;
 /// Time after the head before that rate is required.
 constexpr Seconds kBodyRateGrace{1.5};
-/// A body that arrives at this rate does not occupy a server for long.
+/// A body that arrives at this rate or faster does not occupy a server for long.
 constexpr double kFastBodyBytesPerSecond = 1e6;
 /// Bytes of a body that are buffered, if there is memory, before the request is dispatched. Otherwise a
 /// client that takes seconds to send its body would occupy a server, and count as a request in flight, for
 /// that time.
 constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{1} * 1024 * 1024;
-/// The body of a slow client is buffered while less than the first fraction of the memory budget is in use,
-/// that of a fast client while less than the second is.
+/// A body of more than kMaxUnstreamedBodyBytes is buffered only while less than this fraction of the memory
+/// budget is in use: the first for a body that arrives below kFastBodyBytesPerSecond, the second for others.
 constexpr double kSlowBodyMemoryFraction = 0.75;
 constexpr double kFastBodyMemoryFraction = 0.25;
 /// Bytes that may wait to be parsed: a complete head, or the same amount of pipelined requests.
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -32,7 +32,7 @@
 
   /// The result of one step of the parser.
   struct ParseStep {
-    std::optional<RequestError> error;  ///< the end of the request is unknown; nothing more may be parsed
+    std::optional<RequestError> error;  ///< if set, the end of the request is unknown: parse nothing more
     bool is_head_completed = false;     ///< this step parsed the last byte of the head
     std::size_t body_bytes = 0;         ///< bytes of the body, stored at the start of the chunk
     std::size_t consumed_bytes = 0;     ///< bytes taken from the read-ahead buffer; 0: needs more input
--- a/node/downstream/request_validation.cpp
+++ b/node/downstream/request_validation.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxRequestIdBytes = 128;  // stated in an error message, as is the next
+// Error messages below state these two limits.
+constexpr std::size_t kMaxRequestIdBytes = 128;
 constexpr std::size_t kMaxNumberDigits = 9;
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr double kSecondsPerMicrosecond = 1e-6;
@@ -93,8 +94,8 @@
     return bad_request(
         "X-Timeout-Ms is invalid; it must be one whole number of milliseconds from 1 to 999999999");
   }
-  // Bounded by the timeout of the class: a client that asks for days would occupy one of the open requests
-  // for that time.
+  // Bounded by the timeout of the class: a client that asks for days would hold one of the limited number of
+  // open requests for that time.
   event.time_left =
       std::min(static_cast<double>(*milliseconds) / kMillisecondsPerSecond, request_class.client_timeout);
   return std::nullopt;
@@ -114,8 +115,7 @@
   if (is_key_invalid) {
     return bad_request(
         "Idempotency-Key does not fit the request class; it must be one non-empty key or, where the class "
-        "has "
-        "no keys, absent");
+        "has no keys, absent");
   }
   return std::nullopt;
 }
