--- a/node/upstream/request_writer.h
+++ b/node/upstream/request_writer.h
@@ -23,7 +23,7 @@
     kAwaitingBody,    ///< nothing to write until more of the body arrives
     kBodyAborted,     ///< the body will not be completed; the last byte was not written
     kAwaitingSocket,  ///< the socket accepts no more bytes for now
-    kFailed           ///< the server closed, reset or sent bytes too early, or `send_by` has passed
+    kFailed           ///< `send_by` has passed, or the server closed, reset or sent bytes early
   };
 
   /// @param reservation accounts for the memory of the serialized request
--- a/node/upstream/response_reader.h
+++ b/node/upstream/response_reader.h
@@ -45,7 +45,7 @@
   /// body may be incomplete.
   bool is_cut_short() const;
   bool keeps_connection_open() const { return parser_->keep_alive(); }
-  /// The outcome that the status and the header fields of the response stand for.
+  /// The outcome of the attempt according to the status and the header fields of the response.
   Outcome outcome() const;
   /// The outcome of an attempt whose response could not be read to its end.
   static Outcome outcome_of_read_error(const boost::system::error_code& error);
--- a/node/upstream/server_connection.h
+++ b/node/upstream/server_connection.h
@@ -21,8 +21,8 @@
  public:
   ServerConnection(boost::asio::io_context& io, std::shared_ptr<ServerPool> pool);
 
-  /// Starts to connect. Calls the pool's on_connected() with the result or after the timeout, possibly with
-  /// both; finish_connecting() accepts only the first.
+  /// Starts to connect. Calls the pool's on_connected() when the connect completes and when the timeout
+  /// expires; finish_connecting() accepts only the first of the two.
   /// @param timeout s
   void connect(const boost::asio::ip::tcp::endpoint& endpoint, double timeout);
   /// Ends the connecting state.
@@ -72,7 +72,7 @@
   boost::asio::ip::tcp::endpoint endpoint_;
   State state_ = State::kConnecting;
   std::uint64_t incarnation_ = 0;
-  std::uint64_t idle_generation_ = 0;  // number of the idle period; waits of earlier ones have no effect
+  std::uint64_t idle_generation_ = 0;  // number of the idle period; handlers of earlier ones have no effect
   Clock::Steady::time_point reusable_at_;
 };
 
--- a/node/upstream/server_pool.cpp
+++ b/node/upstream/server_pool.cpp
@@ -31,7 +31,8 @@
   if (!is_same_process || !usable) drop_idle();
 }
 
-// By now another server may use the address and would execute requests that were meant for this server.
+// Drops the idle connections: another server may use the address by now and would execute requests that were
+// meant for this server.
 void ServerPool::retire() {
   usable_ = false;
   drop_idle();
--- a/node/upstream/server_pool.h
+++ b/node/upstream/server_pool.h
@@ -73,10 +73,10 @@
   std::shared_ptr<UpstreamContext> context_;
   boost::asio::ip::tcp::endpoint endpoint_;
   double started_at_ = 0;          // s on the node's clock
-  std::uint64_t incarnation_ = 1;  // number of the advertised server process
+  std::uint64_t incarnation_ = 1;  // counts the server's processes in the endpoint list
   bool usable_ = false;
   std::vector<std::shared_ptr<ServerConnection>> idle_;  // ordered by last use, the most recent at the end
-  // For each there is a connect in flight or an idle connection in quarantine.
+  // For each of them there is a connect in flight or an idle connection in quarantine.
   std::deque<std::shared_ptr<UpstreamAttempt>> waiting_attempts_;
   std::size_t connects_in_flight_ = 0;
   std::size_t quarantine_waits_ = 0;  // timers of start_waiting_after_quarantine()
--- a/node/upstream/upstream_attempt.cpp
+++ b/node/upstream/upstream_attempt.cpp
@@ -101,7 +101,7 @@
     case RequestWriter::Progress::kAwaitingSocket:
       return wait_for_socket_writable();
     case RequestWriter::Progress::kBodyAborted:
-      return finish_later(Outcome::kCancelled);  // the client has left; the last byte was not written
+      return finish_later(Outcome::kCancelled);  // the client disconnected; the last byte was not written
     case RequestWriter::Progress::kFailed:
       return finish_later(Outcome::kConnectFailed);  // without the last byte nothing was executed
   }
@@ -151,8 +151,8 @@
 
 // ---------------------------------------------------------------- the response
 
-// Waits for the first byte separately: the read completes only with a full head, and some servers stop in the
-// middle of one.
+// Waits for the first byte separately, so that the completion timeout starts with it: the read completes only
+// with a full head, and some servers stop in the middle of one.
 void UpstreamAttempt::read_response() {
   reader_.reset();
   if (connection_->buffer().size() > 0) return begin_response();
--- a/node/upstream/upstream_attempt.h
+++ b/node/upstream/upstream_attempt.h
@@ -28,7 +28,7 @@
   UpstreamAttempt(std::shared_ptr<UpstreamContext> context, AttemptCallbacks callbacks);
 
   /// Starts the attempt: starts the timeout unless the request's body is still arriving, and asks the pool
-  /// for a connection. The pool calls begin() once there is one, or finish_later() if none can be had.
+  /// for a connection. The pool calls begin() once there is one, or finish_later() if none can be opened.
   /// @param limits with a timeout above 0
   void assign(std::shared_ptr<ServerPool> pool, const std::shared_ptr<const OutgoingRequest>& request,
               const AttemptTimeLimits& limits);
--- a/node/upstream/upstream_client.h
+++ b/node/upstream/upstream_client.h
@@ -52,8 +52,7 @@
   /// Ends an attempt and closes its connection. The outcome is Outcome::kCancelled, unless another outcome is
   /// already about to be reported.
   void cancel(const AttemptHandle& handle);
-  /// Cancels an attempt only if the last byte of its request is not written yet: no client waits for its
-  /// result.
+  /// Cancels an attempt whose result no client waits for, unless the last byte of its request is written.
   void cancel_unsent(const AttemptHandle& handle);
 
   /// Open connections to servers, and those being connected.
--- a/node/upstream/upstream_context.h
+++ b/node/upstream/upstream_context.h
@@ -27,8 +27,8 @@
   UpstreamLimits limits;
   std::size_t connections = 0;  ///< open ones and those being connected, over all servers
   bool is_closed = false;       ///< the UpstreamClient is destroyed: handlers may use only their own state
-  /// Whether one more connection may be opened. Closes the connection that has been idle the longest if
-  /// needed.
+  /// Returns whether one more connection may be opened. At the limit, closes the connection that has been
+  /// idle the longest to make capacity.
   std::function<bool()> ensure_capacity;
 };
 
