--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The checks of the suite that are not unit tests; ctest runs each by name: checks.sh NAME SOURCE SCRATCH
+# The checks of the test suite that are not C++ tests. ctest runs each by name: checks.sh NAME SOURCE SCRATCH
 set -euo pipefail
 name=$1
 source=$2
@@ -8,11 +8,11 @@
 mkdir -p "$scratch"
 cd "$source"
 
-# Our own sources alone: the bench's journal is kept as it wrote it.
+# The project's own sources. The journal is not one of them: it is kept as the benches wrote it.
 sources() { find include lab node settings_json simulator_adapter src tests -name '*.cpp' -o -name '*.h'; }
 
 case $name in
-  source_size)  # no source over 400 lines, no line over 110 characters; names each file that is over
+  source_size)  # no source has over 400 lines and no line over 110 characters; prints each that has
     sources | xargs awk -v most=400 -v width=110 '
       function close_file() { if (lines > most) { printf "%s: %d lines, at most %d\n", file, lines, most; bad = 1 } }
       FNR == 1 { close_file(); file = FILENAME; files++ }
@@ -20,22 +20,27 @@
       length($0) > width { printf "%s:%d: over %d characters\n", FILENAME, FNR, width; bad = 1 }
       END { close_file(); printf "%d sources\n", files; exit bad || files == 0 }
     ' ;;
-  policy)  # the deploy file lists every file that decides, and nothing else
+  policy)  # the deploy file lists all files of the decision library and no others
     sed -n '/^policy = \[/,/\]/p' deploy/balancer.toml | grep -o '"[^"]*"' | tr -d '"' | sort >"$scratch/listed"
     find src -name '*.cpp' -o -name '*.h' | sort >"$scratch/present"
     [ -s "$scratch/present" ]
     diff "$scratch/listed" "$scratch/present" ;;
-  terms)  # words of an earlier house style that are withdrawn; the file of disabled servers keeps its name
+  terms)  # no withdrawn name or phrase appears in a source; the file of disabled servers keeps its name
     if sources | xargs grep -nE 'wirehost|Danger:|Guards against|thymewood' | grep -v '"/\?thymewood-disabled\.json"'; then
       exit 1
     fi
-    sources | xargs grep -q thymewood-disabled ;;  # the list of sources is one that can be looked through
+    # These are withdrawn as whole words.
+    names='kWanted|FaultWord|fault_words|Scene|is_over|may_get_calls|bound_answers|start_operators_line|went_badly'
+    names+='|on_operators_listening|BadMessage|proves_unrun|known_list|config_knowing'
+    phrases='left aside|all stays as it was|nobody asked|CUT OFF|turned away|no caller'
+    if sources | xargs grep -nwE "$names|$phrases"; then exit 1; fi
+    sources | xargs grep -q thymewood-disabled ;;  # a match must be possible: the list of sources is not empty
   format)
     sources | xargs clang-format --dry-run -Werror ;;
   tidy)
     cmake -B "$scratch" -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DNETTLEYOKE_BUILD_TESTS=ON >/dev/null
-    # Side by side, for each reads much of Boost or GoogleTest. The path analyzer, which takes minutes on these, sees the
-    # decision library, the settings reader and the adapter; over the others the sanitizers stand in.
+    # In parallel, because each file includes much of Boost or GoogleTest. The path analyzer would take minutes on node/,
+    # lab/ and tests/ and does not run there; the sanitizers replace it.
     { find node lab tests/unit tests/node tests/lab -name '*.cpp'; find src settings_json simulator_adapter -name '*.cpp'; } |
       xargs -P "$(nproc)" -I{} sh -c 'case {} in node/*|lab/*|tests/*) less=--checks=-clang-analyzer-* ;; *) less= ;; esac
         clang-tidy -p "$0" --quiet --warnings-as-errors="*" $less {}' "$scratch" ;;
@@ -44,28 +49,28 @@
       -DNETTLEYOKE_UNIT_TESTS_ONLY=ON
     cmake --build "$scratch" -j"$(nproc)"
     ctest --test-dir "$scratch" --output-on-failure -j4 ;;
-  consumer)  # an installed package, found and used
+  consumer)  # a project that finds and uses the installed package
     cmake -B "$scratch/library" -DNETTLEYOKE_BUILD_ADAPTER=OFF -DNETTLEYOKE_BUILD_NODE=OFF
     cmake --build "$scratch/library" -j4
     cmake --install "$scratch/library" --prefix "$scratch/installed"
     cmake -S tests/consumer -B "$scratch/consumer" -DCMAKE_PREFIX_PATH="$scratch/installed"
     cmake --build "$scratch/consumer"
     "$scratch/consumer/consumer" ;;
-  deploy)  # the build line of the deploy file, as it stands there, in a copy of the sources
+  deploy)  # the build command of the deploy file, unchanged, in a copy of the sources
     cp -r CMakeLists.txt cmake include src settings_json simulator_adapter node deploy tests "$scratch"
     cd "$scratch"
     bash -euo pipefail -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)"
-    # What the fleet's platform asks of the real node: one process by exec, linked dynamically, and nothing that
-    # starts another or moves bytes behind the platform's back.
+    # The platform's requirements for the node: one process, started by exec and linked dynamically, that calls no
+    # function which starts another process or moves bytes without the platform seeing them.
     grep -q '^run = "exec ' deploy/balancer.toml
     program=$(sed -n 's/^run = "exec \(.*\)"$/\1/p' deploy/balancer.toml)
     readelf -d "$program" | grep -q 'NEEDED.*libc\.so'
     nm -D --undefined-only "$program" | awk '{ sub("@.*", "", $2); print $2 }' >symbols
-    grep -qx recv symbols  # the list is one that can be looked through
+    grep -qx recv symbols  # a match must be possible: the list of symbols is not empty
     if grep -xE 'v?fork|clone|posix_spawnp?|system|popen|exec[vl].*|v?m?splice|tee|sendfile(64)?|io_uring.*|syscall' symbols; then exit 1; fi
     reply=$(echo '{"clock":1,"turn":1,"nodes":[]}' | sh -c "$(sed -n 's/^sim = "\(.*\)"$/\1/p' deploy/balancer.toml)")
     [ "$reply" = '{"turn":1,"nodes":[]}' ]
-    # The real node, told of one server: it must come up, say that it can serve, and end well when asked to.
+    # The node with a list of one server must start, pass its health check, and exit with success after SIGTERM.
     cat >config.json <<'CONFIG'
 {"name":"check","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
  "known":{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:9","status":"up"}]},
@@ -73,7 +78,7 @@
              "categories":[{"name":"look","aim":1,"giveUp":2,"effect":"safe"}]}}
 CONFIG
     run=$(sed -n 's/^run = "\(.*\)"$/\1/p' deploy/balancer.toml)
-    : >log  # there before the first look at it, whenever the node's own process gets to run
+    : >log  # must exist before the first read, even if the node's process starts later
     RELAY_CONFIG=config.json sh -c "$run" 2>>log &
     node=$!
     trap 'kill -KILL $node 2>/dev/null || true' EXIT
@@ -87,7 +92,7 @@
     head -1 <&3 | grep '^HTTP/1.1 200'
     kill -TERM $node
     wait $node ;;
-  regress)  # the script that plays the benches tells a bad play from a good one, here of benches that play nothing
+  regress)  # regress.sh detects failed runs; the benches here are scripts that only print results
     kit=$scratch
     mkdir -p "$scratch/sites" "$scratch/bin"
     touch "$scratch/sites/akl-build.toml"
