--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -79,7 +79,7 @@
   decisions_ = std::make_unique<node::DecisionLoop>(clock_, config_.settings, config_.seed, executor);
   metrics_.add_classes(config_.class_names);
   start_discovery();
-  start_operators_line();
+  start_admin_server();
   if (!config_.initial_endpoint_list.endpoints.empty()) apply_endpoint_list(config_.initial_endpoint_list);
   decisions_->enqueue_event(Started{});
   if (!config_.settings.must_watch) discovery_->watch();
@@ -101,7 +101,7 @@
           [this] { on_watch_alive(); }, [this] { on_watch_failed(); }};
 }
 
-void HollowNode::start_operators_line() {
+void HollowNode::start_admin_server() {
   disabled_servers_ = std::make_unique<node::DisabledServers>(
       io_, "", [this](const std::set<std::string>& servers) { set_disabled_servers(servers); });
   admin_server_ = std::make_unique<node::AdminServer>(
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -83,7 +83,7 @@
   };
 
   void start_discovery();
-  void start_operators_line();
+  void start_admin_server();
   node::DiscoveryClient::Listener discovery_listener();
 
   void on_server_listed(const node::Endpoint&, bool) override {}
