--- a/node/config.cpp
+++ b/node/config.cpp
@@ -75,7 +75,7 @@
 
 boost::asio::ip::tcp::endpoint read_address(const json::Value& document, const char* field) {
   const auto endpoint = parse_endpoint(json::text(document, field));
-  if (!endpoint) json::throw_invalid(field, "an address with a port");
+  if (!endpoint) json::throw_invalid(field, "an IP address with a port");
   return *endpoint;
 }
 
@@ -83,7 +83,7 @@
   constexpr double kMaxSeconds = 1e6;
   const double seconds = json::number_or(bounds, field, default_seconds);
   if (!(seconds > 0 && seconds < kMaxSeconds))
-    json::throw_invalid(field, "a number between 0 and 1000000 seconds");
+    json::throw_invalid(field, "more than 0 and less than 1000000 seconds");
   return seconds;
 }
 
@@ -156,7 +156,7 @@
   if (list != nullptr) config.initial_endpoint_list = read_endpoint_list(*list, config.zone_directory, clock);
 }
 
-// Reports the first error only, so the order of the sections decides which one that is.
+// If several sections are invalid, the order of the sections decides which error is reported.
 Config read_document(const json::Value& document, const Clock& clock) {
   Config config;
   collect_keys(document, "", config.present_keys);
--- a/node/discovery/endpoint_list.cpp
+++ b/node/discovery/endpoint_list.cpp
@@ -35,7 +35,7 @@
   // For a removed server the address is optional.
   if (json::find(item, "address") != nullptr || server.state != ServerState::kRemoved) {
     const auto endpoint = parse_endpoint(json::text(item, "address"));
-    if (!endpoint) json::throw_invalid("address", "an address with a port");
+    if (!endpoint) json::throw_invalid("address", "an IP address with a port");
     result.endpoint = *endpoint;
   }
   if (json::find(item, "zone") != nullptr) server.zone = read_zone(item, directory);
--- a/node/discovery/endpoint_list.h
+++ b/node/discovery/endpoint_list.h
@@ -47,7 +47,7 @@
   std::string field_;
 };
 
-/// Parses "address:port"; an IPv6 address may be in brackets.
+/// Parses "address:port" with an IP address, not a host name; an IPv6 address may be in brackets.
 /// @return nothing if the text has another form
 [[nodiscard]] std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view text);
 
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -37,7 +37,8 @@
   startup.config = node::read_config(config_path, clock);
   if (const char* address = std::getenv("RELAY_OPS"); is_set(address)) {
     startup.config.admin_address = node::parse_endpoint(address);
-    if (!startup.config.admin_address) throw node::ConfigError("RELAY_OPS", "is not an address with a port");
+    if (!startup.config.admin_address)
+      throw node::ConfigError("RELAY_OPS", "is not an IP address with a port");
   }
   startup.inherited_listener = node::inherited_listener(std::getenv("RELAY_LISTEN_FD"));
   if (const char* directory = std::getenv("TMPDIR"); is_set(directory)) startup.state_directory = directory;
--- a/tests/node/endpoint_list_test.cpp
+++ b/tests/node/endpoint_list_test.cpp
@@ -49,7 +49,7 @@
   EXPECT_EQ(field_at_fault(R"({"index":1,"endpoints":[{"name":"s","status":"well"}]})"),
             "status|field 'status' must be up, draining or removed");
   EXPECT_EQ(field_at_fault(R"({"index":1,"endpoints":[{"name":"s","status":"up","address":"x:1"}]})"),
-            "address|field 'address' must be an address with a port");
+            "address|field 'address' must be an IP address with a port");
 }
 
 TEST(ObjectSplitter, ObjectsSplitAndJoined_Cut_EachIsFound) {
