--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -17,7 +17,7 @@
 
 // For reading a complete line, and again for sending the reply.
 constexpr milliseconds kCommandTimeout{2500};
-// For the client to read the reply before the connection is closed.
+// From the sent reply until the connection is closed: the client reads the reply and closes its side.
 constexpr milliseconds kLingerTimeout{500};
 
 }  // namespace
--- a/node/admin/admin_connection.h
+++ b/node/admin/admin_connection.h
@@ -27,7 +27,8 @@
   AdminConnection(boost::asio::ip::tcp::socket socket, Callbacks callbacks);
 
   void start();
-  /// Whether the client has sent anything.
+  /// Whether the reply has begun or unread bytes have arrived. Bytes of an incomplete command that this
+  /// connection has already read do not count.
   [[nodiscard]] bool has_input();
   void close();
   /// Removes the callbacks. The connection closes when no pending operation of the event loop refers to it.
--- a/node/descriptor_budget.cpp
+++ b/node/descriptor_budget.cpp
@@ -24,6 +24,7 @@
   constexpr std::size_t kRejectedClientDivisor = 8;
   const std::size_t processes = shares_listener ? 2 : 1;
   const std::size_t reserved = (kProcessDescriptors + (has_admin_server ? kAdminDescriptors : 0)) * processes;
+  // If the limit is too low, the parts still get some descriptors, and the node may exceed the limit.
   const std::size_t available = limit > 2 * reserved ? limit - reserved : reserved;
   DescriptorBudget budget;
   budget.clients = available / kClientDivisor;
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -11,7 +11,8 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// After discovery has moved, a change that it sends counts as notified once this time has passed.
+// After discovery has moved, the node counts as notified of a change at the new address once this time has
+// passed.
 constexpr std::chrono::seconds kMoveGracePeriod{4};
 // The mean pause between watches during the grace period.
 constexpr double kMoveRetrySeconds = 0.3;
--- a/node/discovery/object_splitter.cpp
+++ b/node/discovery/object_splitter.cpp
@@ -15,7 +15,8 @@
     if (character == ' ' || character == '\t' || character == '\r') continue;
     if (character == '\n') {
       if (!std::exchange(is_line_empty_, true)) continue;
-      // Otherwise a truncated object would absorb all later objects, and no further list would be received.
+      // If empty lines were allowed inside an object, a truncated object would absorb all later objects, and
+      // no further list would be received.
       if (is_inside_object()) return Item::kMalformed;
       discard_scanned();
       return Item::kEmptyLine;
--- a/node/discovery/object_splitter.h
+++ b/node/discovery/object_splitter.h
@@ -2,7 +2,8 @@
 /// Splits the byte stream of a watch into JSON objects.
 ///
 /// Objects may be split over several reads, follow each other without a separator, and be indented. Empty
-/// lines are allowed between objects but not inside them. Only strings and brackets are recognized.
+/// lines are allowed between objects but not inside them. The splitter recognizes only strings, brackets and
+/// line ends; it does not check that an object is valid JSON.
 #pragma once
 
 #include <cstddef>
--- a/node/discovery/watch_connection.cpp
+++ b/node/discovery/watch_connection.cpp
@@ -14,16 +14,18 @@
 using std::chrono::milliseconds;
 
 // The longest time without a byte on an open watch. Discovery sends an empty line every 2 s: if one is
-// missing after some tolerance, the watch is dead. A change counts as notified after 6 s: with a longer
-// timeout a draining server could still get requests after that.
+// missing after some tolerance, the watch is dead. The node counts as notified of a change after 6 s: with a
+// longer timeout a draining server could still get requests after that.
 constexpr milliseconds kIdleTimeout{3000};
 // For connecting, and for the response head from an agent that responds immediately. With kIdleTimeout
-// instead, two failed watches in a row would take all the time until a missed change counts as notified.
+// instead, two failed watches in a row would take all the time until the node counts as notified of a change
+// that it missed.
 constexpr milliseconds kConnectTimeout{1000};
 constexpr milliseconds kHeadTimeout{1000};
 // From the start of the connect until an agent that responds immediately must have sent the first item, and
-// the complete list if it was requested. Without this limit, steps that each stay within their own timeout
-// could add up, after a silence, to more than the time until a change counts as notified.
+// the complete list if it was requested. Without this limit, the silence before the previous watch ended and
+// the steps of this watch, each within its own timeout, could add up to more than the time until the node
+// counts as notified of a change.
 constexpr milliseconds kFirstListTimeout{2000};
 // The longest time without a byte inside an object, and the longest time for a whole object.
 constexpr milliseconds kObjectStallTimeout{1000};
@@ -103,8 +105,8 @@
     if (!on_item(item, object)) return;
     object_begins = true;
   }
-  // A watch that had to wait in discovery's queue has left it with its first bytes: the waiting time does not
-  // count against the list.
+  // The first bytes show that the watch has left discovery's queue. The time in the queue must not shorten
+  // the time that the list may take.
   if (!responds_immediately_ || (state_ == State::kAlive && !awaits_full_list_)) {
     startup_deadline_ = TimePoint::max();
   }
@@ -112,7 +114,7 @@
   set_read_deadline(splitter_.is_inside_object() ? kObjectStallTimeout : kIdleTimeout);
 }
 
-// Returns false if the watch has ended, which the observer may also cause.
+// Returns false if the watch has ended; the observer may have ended it.
 bool WatchConnection::on_item(ObjectSplitter::Item item, const std::string& object) {
   if (item == ObjectSplitter::Item::kMalformed) {
     end_malformed();
@@ -134,7 +136,7 @@
   return state_ != State::kEnded;
 }
 
-// The deadline is earlier if the startup deadline or the deadline of an incomplete object comes first.
+// The deadline is the earliest of the timeout, the startup deadline and the deadline of an incomplete object.
 void WatchConnection::set_read_deadline(Duration timeout) {
   const TimePoint object_deadline = splitter_.is_inside_object() ? object_deadline_ : startup_deadline_;
   deadline_timer_.expires_at(std::min({from_now(timeout), startup_deadline_, object_deadline}));
--- a/node/dispatch/dispatcher.cpp
+++ b/node/dispatch/dispatcher.cpp
@@ -13,7 +13,8 @@
 
 constexpr DeadlineMargin kMargin{};
 
-// The Retry-After of a request rejected without a decision, as a fraction of the longest Retry-After.
+// The Retry-After of a request that is rejected because too many requests are open, as a fraction of the
+// longest Retry-After that the settings allow.
 constexpr double kOverflowRetryAfterFraction = 0.5;
 
 }  // namespace
@@ -66,8 +67,8 @@
 void Dispatcher::on_server_removed(const std::string& name) { upstream_.remove_server(name); }
 
 // A watch that receives only empty lines, because nothing changes, and then breaks is not a failure. Counting
-// it as one would lengthen the backoff of later watches, in the end beyond the time after which a change
-// counts as notified. The update without changes resets the backoff of the decision library.
+// it as one would lengthen the backoff of later watches, in the end beyond the time after which the node
+// counts as notified of a change. The update without changes resets the backoff of the decision library.
 void Dispatcher::on_watch_alive() {
   rewatch_pauses_.reset();
   if (membership_.listed_servers() == 0) return;
@@ -99,7 +100,7 @@
 
 void Dispatcher::accept(Request event, std::shared_ptr<const OutgoingRequest> message,
                         AnswerCallback callback) {
-  // The settings limit the open requests: above the limit the decision library does not see the request.
+  // The settings limit the open requests. The decision library does not see a request beyond the limit.
   if (in_flight_requests_.size() >= max_open_requests_) {
     return callback({FinalAnswer::Kind::kRejected, overflow_retry_after_, {}, nullptr});
   }
@@ -161,9 +162,9 @@
   erase_if_settled(id);
 }
 
-// Covers a decision library that fails or keeps a request for too long, and timers that fire late. The
-// decision library cancels the attempts that it may cancel; other attempts end by their own timeout, which is
-// earlier than this timer.
+// Gives the final answer if the decision library has failed or keeps the request for too long, or if other
+// timers fire late. The decision library cancels the attempts that it may cancel; other attempts end by their
+// own timeout, which is earlier than this timer.
 void Dispatcher::on_fallback_timer(const std::string& id) {
   InFlightRequest* const request = find_unanswered(id);
   if (request == nullptr) return;
@@ -173,9 +174,9 @@
   erase_if_settled(id);
 }
 
-// Otherwise a server would process a request that no client waits for, once the connection is established or
-// the server reads the rest of the request. The settings may forbid cancelling attempts, but this applies
-// only to attempts that have been sent.
+// Cancels the attempts that have not been sent completely. Without this, a server would process a request
+// that no client waits for, once the connection is established or the server reads the rest of the request.
+// Settings that forbid cancelling attempts apply only to attempts that have been sent.
 void Dispatcher::withdraw_unsent_attempts(const InFlightRequest& request) {
   for (const InFlightRequest::Attempt& attempt : request.attempts()) {
     upstream_.cancel_unsent(attempt.handle);
--- a/node/dispatch/dispatcher.h
+++ b/node/dispatch/dispatcher.h
@@ -37,7 +37,8 @@
   Dispatcher(boost::asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
              std::size_t max_open_requests, UpstreamClient& upstream, std::function<void()> start_watch);
 
-  /// Applies the initial endpoint list unless it is empty, then starts the decision library.
+  /// Applies the initial endpoint list unless it is empty, then starts the decision library. Opens the first
+  /// watch if discovery pushes lists.
   void start(const EndpointList& initial_endpoint_list);
   bool can_serve() const { return membership_.usable_servers() > 0; }
   /// Whether discovery has sent an endpoint list. The initial endpoint list does not count.
@@ -58,8 +59,8 @@
   /// Whether the request with this id has no final answer yet or still has attempts in flight.
   bool is_open(const std::string& id) const { return in_flight_requests_.contains(id); }
   void on_client_disconnected(const std::string& id);
-  /// For the end of the process: every open request and every request accepted later gets its final answer
-  /// within this time.
+  /// Called when the process is to end: every open request and every request accepted later gets its final
+  /// answer within this time.
   /// @param seconds from now
   void answer_all_within(double seconds);
   /// Discovery has sent a complete endpoint list or changes to it.
@@ -113,7 +114,7 @@
   MembershipTracker membership_;
   bool has_received_endpoint_list_ = false;
   boost::asio::steady_timer rewatch_timer_;
-  double answers_due_at_ = std::numeric_limits<double>::infinity();  // finite once the process is to end
+  double answers_due_at_ = std::numeric_limits<double>::infinity();  // set by answer_all_within()
   bool has_logged_execution_failure_ = false;
   bool has_logged_decision_failure_ = false;
   RequestLog request_log_;
--- a/node/dispatch/in_flight_request.h
+++ b/node/dispatch/in_flight_request.h
@@ -57,7 +57,8 @@
   std::size_t add_attempt(const std::string& server);
   void set_attempt_handle(std::size_t number, AttemptHandle handle);
   void close_attempt(std::size_t number) { attempts_[number].is_open = false; }
-  /// @param elapsed s
+  /// Adds an attempt that has ended to the history.
+  /// @param elapsed s from the start of the attempt to its end
   void record_attempt(std::size_t number, Outcome outcome, double elapsed);
   const std::vector<Attempt>& attempts() const { return attempts_; }
 
--- a/node/dispatch/request_log.h
+++ b/node/dispatch/request_log.h
@@ -21,7 +21,8 @@
   void add_final_answer(FinalAnswer::Kind kind, double elapsed);
   void add_client_disconnect(double elapsed);
 
-  /// Whether an attempt failed, the final answer was not a server's response, or the client disconnected.
+  /// Whether an attempt did not succeed, the final answer was not a server's response, or the client
+  /// disconnected.
   bool needs_logging() const { return needs_logging_; }
   const std::string& text() const { return text_; }
 
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -9,8 +9,8 @@
 
 using boost::system::error_code;
 
-// The memory limit divided by this is for messages. The rest is for the program itself, for the fixed memory
-// of each connection, and for memory that the allocator does not return to the system.
+// Messages may use the memory limit divided by this number. The rest is for the program itself, for the fixed
+// memory of each connection, and for memory that the allocator does not return to the system.
 constexpr std::size_t kMessageMemoryDivisor = 3;
 
 // Counted from the node's start. Until then, a node that has no list from discovery is not ready even if it
@@ -156,7 +156,7 @@
   downstream_.shut_down_gracefully([this] { loop_.stop(); });
 }
 
-// ---------------------------------------------------------------- admin calls
+// ---------------------------------------------------------------- admin commands
 
 bool Node::is_ready() const {
   if (!dispatcher_.can_serve() || downstream_.is_shutting_down()) return false;
--- a/node/takeover/disabled_servers.cpp
+++ b/node/takeover/disabled_servers.cpp
@@ -25,7 +25,7 @@
 // command, and must get no new requests half a second later.
 constexpr std::chrono::milliseconds kFilePollInterval{100};
 
-// Holds a lock file next to the shared file during one short read and write. Without the lock, a simultaneous
+// Locks a file next to the shared file during one short read and write. Without the lock, a simultaneous
 // change by the other process could be lost.
 class FileLock {
  public:
--- a/simulator_adapter/wire_writer.cpp
+++ b/simulator_adapter/wire_writer.cpp
@@ -55,7 +55,7 @@
     field("noteText", action.text);
     json_.EndObject();
   }
-  /// Reports an exception of the library.
+  /// Reports an exception that the library threw.
   void write_panic(const std::string& error) const {
     start("PANIC");
     json_.Key("noteText");
