--- a/tests/node/endpoint_list_test.cpp
+++ b/tests/node/endpoint_list_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(parse_error(R"({"index":1,"endpoints":[{"name":"s","status":"well"}]})"),
             "status|field 'status' must be up, draining or removed");
   EXPECT_EQ(parse_error(R"({"index":1,"endpoints":[{"name":"s","status":"up","address":"x:1"}]})"),
-            "address|field 'address' must be an address with a port");
+            "address|field 'address' must be an IP address with a port");
 }
 
 TEST(ObjectSplitter, ObjectsSplitAndJoined_Appended_EachIsExtracted) {
