--- a/tests/unit/admission_parts_test.cpp
+++ b/tests/unit/admission_parts_test.cpp
@@ -30,7 +30,7 @@
   return admitted;
 }
 
-TEST(SlidingWindow, RequestLeavesTheShortRateAfterOneSecondAndTheWindowAfterFour) {
+TEST(SlidingWindow, RequestCountsInTheLastSecondForOneSecondAndInTheWindowForFour) {
   SlidingWindow window(0.1, 40, 10);
   window.add(10.05, true);
   window.add(10.05, false);
@@ -44,7 +44,7 @@
 TEST(SlidingWindow, ReusedBucketNoLongerCountsItsEarlierRequests) {
   SlidingWindow window(0.1, 40, 10);
   window.add(-0.05, false);
-  window.add(3.95, false);  // 40 buckets later: reuses the same bucket
+  window.add(3.95, false);  // 40 buckets later, in the same bucket
   EXPECT_EQ(window.sums(3.95).total, 1);
 }
 
--- a/tests/unit/attempt_parts_test.cpp
+++ b/tests/unit/attempt_parts_test.cpp
@@ -12,8 +12,8 @@
 namespace nettleyoke {
 namespace {
 
-// A request with a latency objective of 4 s: its latency estimate starts with a mean of 1 s, and an attempt
-// is clearly late after 4 s. A response is useful until 110 s.
+// A request with a latency objective of 4 s. Its latency estimate starts with a mean of 1 s, and an attempt
+// counts as clearly late 4 s after it was sent. A response is useful until the clock shows 110 s.
 RequestState request_of(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
   Settings settings = basic_settings(class_of(idempotency, scope));
   settings.classes[0].latency_objective = 4;
@@ -29,9 +29,9 @@
 TEST(AttemptTimeout, AttemptTimesOutWhenItIsClearlyLateIfARetryIsPossible) {
   RequestState request = request_of(Idempotency::kIdempotent);
   EXPECT_DOUBLE_EQ(attempt_timeout(100, request), 4);
-  EXPECT_DOUBLE_EQ(attempt_timeout(105.5, request), 4.5) << "no time for a retry";
+  EXPECT_DOUBLE_EQ(attempt_timeout(105.5, request), 4.5) << "no time left for a retry";
   request.attempts.push_back({0, 100});
-  EXPECT_DOUBLE_EQ(attempt_timeout(100, request), 10) << "the last attempt";
+  EXPECT_DOUBLE_EQ(attempt_timeout(100, request), 10) << "the last allowed attempt";
   EXPECT_DOUBLE_EQ(attempt_timeout(100, request_of(Idempotency::kNonIdempotent)), 10);
 }
 
--- a/tests/unit/balancer_admission_test.cpp
+++ b/tests/unit/balancer_admission_test.cpp
@@ -10,7 +10,7 @@
 namespace nettleyoke {
 namespace {
 
-TEST(SuppressionFactor, MatchesTheWorkedExamples) {
+TEST(SuppressionFactor, IsTheFractionOfTheHigherRateAboveTheLimit) {
   EXPECT_NEAR(suppression_factor(10, 14, 14), 0.286, 0.0005);
   EXPECT_NEAR(suppression_factor(10, 11.67, 12), 0.167, 0.0005);
   EXPECT_NEAR(suppression_factor(10, 13.33, 15), 0.333, 0.0005);
@@ -87,8 +87,8 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).rate_limit, 10);
 }
 
-// A tenant that far exceeds its quota can use all capacity. Requests of a tenant within its quota must still
-// be sent.
+// A tenant that far exceeds its quota can use all capacity. Requests of another tenant within its quota must
+// still be sent.
 TEST(Admission, TenantWithinItsQuotaIsAdmittedWhileAnotherUsesAllCapacity) {
   Settings settings = basic_settings();
   settings.tenants = {{2.0}, {2.0}};
@@ -111,12 +111,12 @@
   ReplicaUnderTest replica(one_tenant(10));
   replica.at(0, members(4));
   const double limit = replica.balancer.tenant_statistics(0, 0).rate_limit;
-  const double flood = 400 * limit;
+  const double requests = 400 * limit;  // all within 1 s
   int late_admissions = 0;
-  for (int i = 0; i < static_cast<int>(flood); ++i) {
-    replica.now = i / flood;
+  for (int i = 0; i < static_cast<int>(requests); ++i) {
+    replica.now = i / requests;
     const bool admitted = !actions_of<StartAttempt>(replica.request("r" + std::to_string(i))).empty();
-    if (i > flood * 0.9 && admitted) ++late_admissions;
+    if (i > requests * 0.9 && admitted) ++late_admissions;
   }
   EXPECT_EQ(late_admissions, 0);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant_statistics(replica.now, 0).suppression_factor, 1);
@@ -197,8 +197,8 @@
       << "a quarter of this replica's share of the quota";
 }
 
-// Requests that end within a feedback delay were sent under the previous limit and are no evidence about the
-// new one.
+// Requests that end within a feedback delay after the limit changed were sent under the previous limit and
+// are no evidence about the new one.
 TEST(RateLimit, FallsByAFractionInOneSecondOfRejections) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
@@ -209,7 +209,8 @@
   EXPECT_GT(after, before * 0.5);
 }
 
-// If everything slows down together, lowering all tenants to the same floor would leave servers idle.
+// If all servers slow down together, lowering the rate limits of all tenants to the same floor would leave
+// servers idle.
 TEST(RateLimit, SlowResponsesDoNotLowerIt) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
--- a/tests/unit/balancer_body_test.cpp
+++ b/tests/unit/balancer_body_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_EQ(actions_of<StartAttempt>(replica.request("after")).size(), 1U);
 }
 
-TEST(BodyInProgress, ClientTimeoutRunsFromItsLastByte) {
+TEST(BodyInProgress, ClientTimeoutStartsAtTheLastByteOfTheBody) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(2));
   ASSERT_EQ(actions_of<StartAttempt>(replica.at(0, request_with_body_in_progress("c"))).size(), 1U);
@@ -61,7 +61,7 @@
   failed.body_consumed = true;
   const auto actions = replica.at(0.1, failed);
   EXPECT_TRUE(actions_of<StartAttempt>(actions).empty());
-  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "the attempt never ran";
+  EXPECT_EQ(actions_of<Reject>(actions).size(), 1U) << "the attempt never ran, so a client retry is harmless";
 }
 
 }  // namespace
--- a/tests/unit/balancer_capacity_test.cpp
+++ b/tests/unit/balancer_capacity_test.cpp
@@ -7,12 +7,12 @@
 #include <string>
 
 #include "balancer_harness.h"
-#include "healthy_traffic.h"
+#include "large_quota_settings.h"
 
 namespace nettleyoke {
 namespace {
 
-// Requests to a server that has stopped responding wait in vain and queue behind each other.
+// Requests to a server that has stopped responding stay in flight and queue behind each other.
 TEST(ConcurrencyLimit, BoundsRequestsInFlightAtSilentServers) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(3));
@@ -87,7 +87,7 @@
 }
 
 // Behind the first tier, free capacity is only a preference: a failing server with free capacity must not be
-// preferred to a healthy server without.
+// preferred to a healthy server without free capacity.
 TEST(ConcurrencyLimit, BehindTheFirstTierDoesNotOutweighEjection) {
   Settings settings = settings_with_large_quota();
   settings.tier = 1;
@@ -133,7 +133,7 @@
   const auto count_admitted = [&](double from, double latency) {
     int admitted = 0;
     for (int i = 0; i < 200; ++i) {
-      replica.now = from + i;  // one request at a time: too few for a response rate
+      replica.now = from + i;  // one request at a time: too few to measure a response rate
       const std::string id = std::to_string(replica.now);
       if (actions_of<StartAttempt>(replica.request(id)).empty()) continue;
       ++admitted;
@@ -141,7 +141,8 @@
     }
     return admitted;
   };
-  EXPECT_EQ(count_admitted(0, 0.3), 200) << "while responses are fast there is a margin for chance";
+  EXPECT_EQ(count_admitted(0, 0.3), 200)
+      << "fast responses allow a margin for requests that coincide by chance";
   const int admitted = count_admitted(1000, 1.9);
   EXPECT_GT(admitted, 20) << "enough requests to observe the end of the overload";
   EXPECT_LT(admitted, 190);
@@ -170,7 +171,7 @@
   return 4 + attempts_until_rejected(replica, "more");
 }
 
-// An overloaded server stays slow for long. Without a lower limit, its requests would move to the other
+// An overloaded server stays slow for long. If the limit did not fall, its requests would move to the other
 // servers and overload them as well.
 TEST(ConcurrencyLimit, FallsWhenAllServersTurnSlow) {
   const int fast = capacity_after_slow_responses(4, 0.2);
@@ -184,8 +185,8 @@
 TEST(ConcurrencyLimit, DoesNotFallForOneSlowServer) { EXPECT_GT(capacity_after_slow_responses(1, 1.5), 8); }
 
 // Occasionally a request gets no response, from this tier or a tier behind it, and lasts until its timeout.
-// If the mean latency decided, a few such requests would make every server look slow, and the tier would
-// reject requests that it can process.
+// If the limit depended on the mean latency, a few such requests would make every server look slow, and the
+// tier would reject requests that it can process.
 TEST(ConcurrencyLimit, DoesNotFallForAFewStuckRequests) {
   for (const Outcome stuck : {Outcome::kTimedOut, Outcome::kSucceeded}) {
     ReplicaUnderTest replica(settings_with_large_quota());
--- a/tests/unit/balancer_membership_test.cpp
+++ b/tests/unit/balancer_membership_test.cpp
@@ -50,8 +50,8 @@
   EXPECT_EQ(servers_used(replica, 50, "b"), (std::set<std::string>{"s0", "s1"}));
 }
 
-// The server registry must not grow with every server that was ever listed: all servers are replaced again
-// and again on a long day, and each change iterates over the registry.
+// The server registry must not keep every server that was ever listed: over a long day, all servers are
+// replaced many times, and each change iterates over the registry.
 TEST(MembershipChange, RemovedServerIsErasedWhenItsLastRequestEnds) {
   ReplicaUnderTest replica(basic_settings());
   constexpr int kListed = 5, kSteps = 1000;
--- a/tests/unit/balancer_outlier_test.cpp
+++ b/tests/unit/balancer_outlier_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "balancer_harness.h"
-#include "healthy_traffic.h"
+#include "large_quota_settings.h"
 
 namespace nettleyoke {
 namespace {
@@ -40,8 +40,8 @@
   EXPECT_GT(after_recovery.at("s2"), 100);
 }
 
-// If all servers fail for a common reason, judging each one alone would eject all of them and leave none to
-// send to.
+// If all servers fail for a common reason, evaluating each one alone would eject all of them and leave none
+// to send to.
 TEST(OutlierDetection, NoServerIsEjectedWhenAllServersFail) {
   ReplicaUnderTest replica(settings_with_large_quota());
   replica.at(0, members(4));
--- a/tests/unit/balancer_selection_test.cpp
+++ b/tests/unit/balancer_selection_test.cpp
@@ -23,8 +23,8 @@
   EXPECT_EQ(in_flight["s1"], 5);
 }
 
-// With about one request in flight per replica, the numbers of requests in flight are equal, and a slow
-// server would keep its full share.
+// With about one request in flight per replica, all servers have equally many requests in flight. If only
+// these counted, a slow server would keep its full share.
 TEST(EndpointSelection, SlowServerIsAvoidedWithoutRequestsInFlight) {
   ReplicaUnderTest replica(basic_settings());
   replica.at(0, members(4));
@@ -52,7 +52,7 @@
       replica.end_attempt(std::to_string(i), Outcome::kSucceeded, 0, 0.2);
     }
     const std::string silent = actions_of<StartAttempt>(replica.request("old"))[0].server;
-    replica.now += 1;  // five usual response times
+    replica.now += 1;  // five times the usual response time
     for (int i = 0; i < 3; ++i) {
       EXPECT_NE(actions_of<StartAttempt>(replica.request("new" + std::to_string(i)))[0].server, silent)
           << "several new requests weigh less than one old request";
--- a/tests/unit/balancer_slow_start_test.cpp
+++ b/tests/unit/balancer_slow_start_test.cpp
@@ -15,7 +15,7 @@
 TEST(SlowStart, ReplicasTogetherStayWithinTheCapacityOfAStartedServer) {
   constexpr int kReplicas = 10;
   constexpr int kServers = 10;
-  // Requests/s per replica. Each server's share over all replicas is 20 requests/s too.
+  // Requests/s per replica. Each server gets 20 requests/s too, the sum over all replicas.
   constexpr double kRate = 20;
   Settings settings = basic_settings();
   settings.replica_count = kReplicas;
--- a/tests/unit/balancer_subsetting_test.cpp
+++ b/tests/unit/balancer_subsetting_test.cpp
@@ -23,7 +23,7 @@
           for (const std::size_t position : subset) ++uses[position];
         }
         const auto [least, most] = std::minmax_element(uses.begin(), uses.end());
-        // For all counts, the numbers of replicas that use a server differ by one at most.
+        // The number of replicas that use a server differs by at most one between servers.
         EXPECT_LE(*most - *least, 1) << replicas << " replicas, " << servers << " servers, size " << size;
       }
     }
--- a/tests/unit/deadline_test.cpp
+++ b/tests/unit/deadline_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr double kNormalLoad = 0.6;           // fraction of a tier's capacity
-constexpr int kClientAttempts = 3;            // including the first
+constexpr int kClientAttempts = 3;            // per request, including the first
 constexpr double kClientPauseSeconds = 0.02;  // before a client retry
 
 // Tiers of servers, each of which sends requests to the next.
@@ -221,8 +221,9 @@
 
 class TransientOverload : public testing::TestWithParam<Chain> {};
 
-// All servers are slow for a while, and clients retry. The overload must end with its cause: timeouts learned
-// only from responses that arrived in time must not leave later tiers less time than they need.
+// All servers are slow for a while, and clients retry. Once the servers are fast again, the overload must
+// end: timeouts learned only from responses that arrived in time must not leave later tiers less time than
+// they need.
 TEST_P(TransientOverload, EndsWithItsCause) {
   const Chain& chain = GetParam();
   SimulatedTiers tiers(chain);
--- a/tests/unit/decision_digest_test.cpp
+++ b/tests/unit/decision_digest_test.cpp
@@ -35,8 +35,8 @@
   std::uint64_t value_ = 0xCBF29CE484222325ULL;
 };
 
-// The texts that enter the digest. Numbers have nine digits, because the last bits of libm results differ
-// between platforms.
+// The texts that enter the digest; a changed word, such as "refuse", changes all digests. Numbers have nine
+// digits, because the last bits of libm results differ between platforms.
 std::string text_of(double number) {
   std::array<char, 40> out{};
   std::snprintf(out.data(), out.size(), "%.9g", number);
--- a/tests/unit/event_stream.cpp
+++ b/tests/unit/event_stream.cpp
@@ -63,7 +63,8 @@
   const double load = load_[address] += 1;
   const auto at = std::find_if(listed_.begin(), listed_.end(),
                                [&](const Server& server) { return server.address == address; });
-  // A factor with a long tail. It is a quotient because the functions of libm differ between platforms.
+  // A random factor of the service time with a long tail. It is computed by a division because the functions
+  // of libm differ between platforms.
   const double spread = 0.7 + 0.2 / (1.1 - random_.unit());
   const double quick_failure_seconds = random_.between(0.001, 0.02);
   if (at == listed_.end() || at->state == ServerState::kRemoved)
@@ -177,15 +178,15 @@
 }
 
 Request EventStream::draw_request() {
-  const Phase& now = current_phase();
+  const Phase& phase = current_phase();
   const Settings& settings = scenario_.settings;
   Request request;
   request.id = "request-" + std::to_string(requests_++);
   request.tenant = random_.below(std::max<std::size_t>(1, settings.tenants.size()));
-  if (random_.chance(now.last_tenant_share)) request.tenant = settings.tenants.size() - 1;
+  if (random_.chance(phase.last_tenant_share)) request.tenant = settings.tenants.size() - 1;
   request.request_class = random_.below(settings.classes.size());
-  if (random_.chance(now.anomaly_rate / 2)) request.tenant = 77;
-  if (random_.chance(now.anomaly_rate / 2)) request.request_class = 99;
+  if (random_.chance(phase.anomaly_rate / 2)) request.tenant = 77;
+  if (random_.chance(phase.anomaly_rate / 2)) request.request_class = 99;
   const double client_timeout =
       settings.classes[request.request_class % settings.classes.size()].client_timeout;
   request.time_left = random_.chance(0.1) ? random_.between(0, client_timeout / 3) : client_timeout;
@@ -198,7 +199,7 @@
 void EventStream::send_request(std::size_t replica, const Request& request) {
   clients_[replica][request.id] = {request, {}, random_.chance(0.1), false};
   notify(replica, request);
-  // A repeated id; its request may be open or already have ended.
+  // Sends the same id again; the first request with it may be open or have ended.
   if (random_.chance(current_phase().anomaly_rate)) notify(replica, request);
   if (request.body_in_progress) {
     schedule(random_.between(0.01, 0.6), [=, this] { notify(replica, RequestBodyComplete{request.id}); });
--- a/tests/unit/event_stream.h
+++ b/tests/unit/event_stream.h
@@ -68,8 +68,8 @@
   };
   SimulatedServers(const Scenario& scenario, StreamRandom& random);
 
-  // Begins an attempt at a server. Returns its outcome and duration unless it times out or is cancelled
-  // first.
+  // Begins an attempt at a server, with `work` seconds in addition to the service time. Returns the outcome
+  // and the duration that the attempt has if it is neither timed out nor cancelled.
   AttemptEnd begin_attempt(const std::string& address, double now, const Phase& phase, double work);
   void finish_attempt(const std::string& address) { load_[address] -= 1; }
   // Changes one random server. The update lists it and some unchanged servers.
--- a/tests/unit/fleet_slow_start_test.cpp
+++ b/tests/unit/fleet_slow_start_test.cpp
@@ -23,7 +23,7 @@
 
 // Times of a run, in seconds.
 constexpr double kRunStart = 100;
-constexpr double kColdStart = 108;  // of the servers in slow start
+constexpr double kColdStart = 108;  // when the cold servers start, which are then in slow start
 constexpr double kBurstStart = 110;
 constexpr double kBurstEnd = 114;
 constexpr double kRunEnd = 118;
@@ -31,7 +31,7 @@
 constexpr double kInitialCapacity = 0.3;
 constexpr double kSlowStartSeconds = 8;
 constexpr double kOverloadThreshold = 4;      // multiple of the server's capacity
-constexpr double kOverloadWindowSeconds = 2;  // no window of this length may reach it
+constexpr double kOverloadWindowSeconds = 2;  // the load stays below the threshold in each such window
 constexpr double kUtilisation = 0.8;          // of the capacity of all servers without slow start
 
 struct Scenario {
@@ -99,7 +99,7 @@
                              (1 - kInitialCapacity) * std::max(0.0, time - kColdStart) / kSlowStartSeconds);
   }
   // The number of requests that a server in slow start gets if all servers are equally utilised. A server
-  // that refuses connects is ejected and gets none; this is correct, so that time is left out.
+  // that refuses connects is correctly ejected and gets none, so that time is left out.
   double expected_requests() const {
     const double refusing = scenario_.refuses_for > 0 ? scenario_.refuses_for + 2 : 0;
     double sum = 0;
@@ -225,8 +225,8 @@
   std::uint64_t requests_ = 0;
 };
 
-// Expects that no window of requests reaches the overload threshold, except by random variation of the
-// arrivals.
+// Expects that the requests in each window stay below the overload threshold, with a margin for the random
+// variation of the arrivals.
 void expect_below_overload_threshold(const SimulatedFleet& fleet, std::size_t server) {
   const std::vector<double>& times = fleet.attempt_times(server);
   for (std::size_t first = 0, last = 0; first < times.size(); ++first) {
--- a/tests/unit/membership_parts_test.cpp
+++ b/tests/unit/membership_parts_test.cpp
@@ -135,20 +135,20 @@
       EXPECT_LE(next - now, pause);
       now = next;
     }
-    EXPECT_LE(backoff.next_watch_at(now + 10, 4, random), now + 10.3) << "the watch hung for long";
+    EXPECT_LE(backoff.next_watch_at(now + 10, 4, random), now + 10.3) << "the watch hung for 10 s";
     backoff.reset();
     EXPECT_LE(backoff.next_watch_at(now + 10, 4, random), now + 10.3);
   }
 }
 
-TEST(EndpointSelector, AnEjectedOrTriedServerIsPickedOnlyIfAllServersAre) {
+TEST(EndpointSelector, AnEjectedOrTriedServerIsPickedOnlyIfNoOtherServerIsLeft) {
   SelectionParts replica(basic_settings(), members(3));
   for (int i = 0; i < 3; ++i) replica.registry[0].outlier.record(100, false);
   replica.request.attempts.push_back({1, 100});
   EXPECT_EQ(replica.pick_counts(50), (std::vector<int>{0, 0, 50}));
   replica.request.attempts.push_back({2, 100});
   EXPECT_EQ(replica.pick_counts(50), (std::vector<int>{50, 0, 0}))
-      << "an ejected server before one that was already tried";
+      << "an ejected server is preferred to one that was already tried";
 }
 
 TEST(EndpointSelector, PicksTheServerWithTheLowerLoadScore) {
@@ -160,7 +160,7 @@
       << "one attempt in flight weighs less than three times the latency";
 }
 
-TEST(EndpointSelector, OnlyTheFirstTierPicksNoServerWithoutCapacity) {
+TEST(EndpointSelector, AServerWithoutCapacityIsPickedOnlyBehindTheFirstTier) {
   Settings settings = basic_settings();
   for (settings.tier = 0; settings.tier < 2; ++settings.tier) {
     SelectionParts replica(settings, members(1));
--- a/tests/unit/property_test.cpp
+++ b/tests/unit/property_test.cpp
@@ -30,7 +30,8 @@
   bool is_concluded = false;  // has its final answer, or its client has disconnected
 };
 
-// The host of one replica. Tracks all events that it reports and all actions that the replica returns.
+// The host of one replica. Reports random events and checks each action that the replica returns against all
+// earlier events and actions.
 class RuleChecker {
  public:
   RuleChecker(const Settings& settings, std::uint64_t seed)
--- a/tests/unit/server_admin_state_test.cpp
+++ b/tests/unit/server_admin_state_test.cpp
@@ -70,10 +70,11 @@
   const auto back = servers_used(replica, 200, "back");  // 2 s
   const auto fraction = static_cast<double>(back.count("s1")) / static_cast<double>(back.size());
   EXPECT_GT(fraction, 0.02);
-  EXPECT_LT(fraction, 0.20) << "a third after slow start";
+  EXPECT_LT(fraction, 0.20) << "after slow start, its share is a third";
 }
 
-// If its slow start began when it is enabled, it would get less than its capacity and the other servers more.
+// If the slow start of such a server began when it is enabled, the server would get less than its capacity
+// and the other servers more than their share.
 TEST(ServerAdminState, SlowStartOfAServerThatRestartedWhileDisabledBeginsAtTheRestart) {
   const auto requests_after_enabling = [](double started, double disabled_at) {
     Settings settings = basic_settings();
@@ -91,9 +92,9 @@
     return servers_used(replica, 200, "back").count("s1");
   };
   const auto before_disabling =
-      requests_after_enabling(3.5, 4);  // discovery reports no start since it was disabled
+      requests_after_enabling(3.5, 4);  // discovery reports no restart since s1 was disabled
   const auto while_disabled =
-      requests_after_enabling(15, 4);  // 6 s before it is enabled: 6 of 8 s of its slow start
+      requests_after_enabling(15, 4);  // 6 s before s1 is enabled: 6 of the 8 s of its slow start
   EXPECT_GT(while_disabled, 2 * before_disabling);
 }
 
--- a/tests/unit/server_state_parts_test.cpp
+++ b/tests/unit/server_state_parts_test.cpp
@@ -31,7 +31,7 @@
   outlier.record(100, false);
   EXPECT_TRUE(outlier.is_ejected(100));
   EXPECT_NEAR(outlier.failure_rate(106), 0.51 / 2, 1e-9)
-      << "half-life of 2 s times 1 + 2 consecutive failures";
+      << "the half-life is 2 s times (1 + 2 consecutive failures)";
   EXPECT_FALSE(outlier.is_ejected(106));
   EXPECT_EQ(outlier.failure_rate(130), 0);
 }
@@ -98,7 +98,8 @@
   const SlowStartPolicy policy = policy_of(slow_start_settings());
   SlowStart server;
   server.begin_incarnation(100, 0);
-  EXPECT_FALSE(policy.has_token(105, server, 100)) << "has no share of the traffic";
+  EXPECT_FALSE(policy.has_token(105, server, 100))
+      << "a server in slow start without a traffic share gets no token";
   EXPECT_TRUE(policy.has_token(110, server, 100));
 }
 
@@ -118,9 +119,11 @@
   const SubsetShape alone{1, 1};
   EXPECT_TRUE(limit.has_capacity(100, 7, 0.1, alone, false));
   EXPECT_FALSE(limit.has_capacity(100, 8, 0.1, alone, false));
-  EXPECT_TRUE(limit.has_capacity(100, 10, 0.1, alone, true)) << "1.3 times the capacity within the quota";
+  EXPECT_TRUE(limit.has_capacity(100, 10, 0.1, alone, true))
+      << "requests within the quota may use 1.3 times the capacity";
   EXPECT_FALSE(limit.has_capacity(130, 3, 0.1, alone, false));
-  EXPECT_TRUE(limit.has_capacity(130, 0, 0.1, {1, 100}, false)) << "at least one attempt";
+  EXPECT_TRUE(limit.has_capacity(130, 0, 0.1, {1, 100}, false))
+      << "each replica may have one attempt in flight";
   EXPECT_FALSE(limit.has_capacity(130, 1, 0.1, {1, 100}, false));
 }
 
@@ -154,8 +157,10 @@
   RandomSource random(1);
   EXPECT_TRUE(second.has_capacity(100, {1, 1}, false, random));
   EXPECT_EQ(RandomSource(random).next(), RandomSource(1).next());
-  EXPECT_FALSE(first.has_capacity(100, {1, 1}, false, random)) << "2 attempts for the server, 2 by chance";
-  EXPECT_TRUE(first.has_capacity(100, {20, 1}, false, random)) << "the same for each of 20 servers";
+  EXPECT_FALSE(first.has_capacity(100, {1, 1}, false, random))
+      << "the limit is 2 attempts for the server and 2 for attempts that coincide by chance";
+  EXPECT_TRUE(first.has_capacity(100, {20, 1}, false, random))
+      << "the limit is 2 attempts for each of 20 servers";
 }
 
 TEST(OverloadBound, IsLoweredBelowTheAttemptsInFlightAndRisesAgain) {
@@ -185,7 +190,7 @@
   EXPECT_NEAR(latency.at(110, in_flight, 1), 2, 0.1);
   EXPECT_EQ(latency.at(120, in_flight, 1), 1);
   in_flight.add(115);
-  EXPECT_EQ(latency.at(125, in_flight, 2), 5) << "from the age of the attempt without a response";
+  EXPECT_EQ(latency.at(125, in_flight, 2), 5) << "from the age of the attempt in flight";
 }
 
 }  // namespace
--- a/tests/unit/watch_backoff_test.cpp
+++ b/tests/unit/watch_backoff_test.cpp
@@ -11,9 +11,9 @@
 
 MembershipUpdate failed() { return {MembershipUpdate::Form::kFailed, {}}; }
 
-// A watch that hung may follow refused watches, which have increased the backoff. A replica counts as
-// notified of a change 6 s after discovery became reachable, which may be just after the start of the watch
-// that hung. The next watch must therefore start soon after that start.
+// Discovery may become reachable just after the start of a watch that hangs, and a replica must be notified
+// of changes within 6 s after discovery became reachable. The next watch must therefore start soon after the
+// start of the one that hung, even if refused watches have increased the backoff before.
 TEST(WatchBackoff, NextWatchStartsSoonAfterTheStartOfAWatchThatHung) {
   for (const double hang_seconds : {0.0, 1.0, 3.0, 4.5}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
--- a/tests/unit/zone_test.cpp
+++ b/tests/unit/zone_test.cpp
@@ -32,8 +32,8 @@
   }
 };
 
-// One of five replicas, and servers with a queue each in a local and a remote zone. While the remote zone is
-// cut off, connects to it fail.
+// One replica out of five, with servers in a local and a remote zone. Each server has its own queue. While
+// the remote zone is cut off, connects to it fail.
 struct TwoZones {
   explicit TwoZones(double cross_zone_cost) : replica(settings(cross_zone_cost)) {
     list_local_servers(kLocalServers);
