--- a/tests/unit/balancer_admission_test.cpp
+++ b/tests/unit/balancer_admission_test.cpp
@@ -197,8 +197,8 @@
       << "a quarter of this replica's share of the quota";
 }
 
-// Requests that end within a feedback delay after the limit changed were sent under the previous limit and
-// are no evidence about the new one.
+// Requests that end within a feedback delay after a change of the limit were admitted under the previous
+// limit. They are no evidence about the new one, so a second of rejections must not lower it too far.
 TEST(RateLimit, FallsByAFractionInOneSecondOfRejections) {
   ReplicaUnderTest replica(one_tenant(100));
   replica.at(0, members(4));
--- a/tests/unit/balancer_capacity_test.cpp
+++ b/tests/unit/balancer_capacity_test.cpp
@@ -105,9 +105,9 @@
   EXPECT_LT(to_failing, 40);
 }
 
-// The margin for requests that coincide by chance adds up to an overload over many replicas, so it applies
-// only while responses are fast.
-TEST(ConcurrencyLimit, MarginForChanceShrinksWithSlowResponses) {
+// Each replica has an allowance for bursts of requests that coincide by chance. Over many replicas, these
+// allowances add up to an overload, so they apply only while responses are fast.
+TEST(ConcurrencyLimit, BurstAllowanceShrinksWithSlowResponses) {
   const auto capacity_after_responses_of = [](double later_latency) {
     ReplicaUnderTest replica(settings_with_large_quota());
     replica.at(0, members(20));
@@ -141,8 +141,7 @@
     }
     return admitted;
   };
-  EXPECT_EQ(count_admitted(0, 0.3), 200)
-      << "fast responses allow a margin for requests that coincide by chance";
+  EXPECT_EQ(count_admitted(0, 0.3), 200) << "the burst allowance applies while responses are fast";
   const int admitted = count_admitted(1000, 1.9);
   EXPECT_GT(admitted, 20) << "enough requests to observe the end of the overload";
   EXPECT_LT(admitted, 190);
--- a/tests/unit/server_state_parts_test.cpp
+++ b/tests/unit/server_state_parts_test.cpp
@@ -158,9 +158,9 @@
   EXPECT_TRUE(second.has_capacity(100, {1, 1}, false, random));
   EXPECT_EQ(RandomSource(random).next(), RandomSource(1).next());
   EXPECT_FALSE(first.has_capacity(100, {1, 1}, false, random))
-      << "the limit is 2 attempts for the server and 2 for attempts that coincide by chance";
+      << "the limit is 2 attempts for the server and a burst allowance of 2";
   EXPECT_TRUE(first.has_capacity(100, {20, 1}, false, random))
-      << "the limit is 2 attempts for each of 20 servers";
+      << "the limit is 2 attempts for each of 20 servers and the burst allowance";
 }
 
 TEST(OverloadBound, IsLoweredBelowTheAttemptsInFlightAndRisesAgain) {
