--- a/lab/checks/invariant_checker.cpp
+++ b/lab/checks/invariant_checker.cpp
@@ -7,32 +7,32 @@
 namespace nettleyoke::lab {
 namespace {
 
-constexpr double kSocketSlackSeconds = 0.05;        // on sockets each time limit of the rules grows by this
-constexpr double kDisconnectReactionSeconds = 0.1;  // no attempt begins later after its client disconnected
-constexpr std::size_t kMaxAttemptsAfterDisconnect = 2;  // tolerated in a run
-constexpr std::size_t kCallsPerClosedConnection = 200;  // one closed connection in so many calls is tolerated
+constexpr double kSocketSlackSeconds = 0.05;        // tolerance for socket delays, added to each time limit
+constexpr double kDisconnectReactionSeconds = 0.1;  // time for a node to react to a disconnect
+constexpr std::size_t kMaxAttemptsAfterDisconnect = 2;  // tolerated per run
+constexpr std::size_t kCallsPerClosedConnection = 200;  // one closed connection per so many calls is allowed
 constexpr std::size_t kMaxViolationTexts = 20;
 
 std::string milliseconds(double seconds) { return std::to_string(std::lround(seconds * 1000)) + " ms"; }
 
 }  // namespace
 
-// The one place where the words of results stand beside the rules.
-const char* word_for(Rule rule) {
+// The rules' names in result files.
+const char* rule_name(Rule rule) {
   switch (rule) {
-    case Rule::kOneAnswer:
+    case Rule::kOneFinalAnswer:
       return "answer";
-    case Rule::kFinalAnswer:
+    case Rule::kFinalAnswerInTime:
       return "lost";
-    case Rule::kKnownRequest:
+    case Rule::kRequestSentByClient:
       return "unknown";
     case Rule::kOneAttemptInFlight:
       return "copy";
     case Rule::kIdempotency:
       return "duplicate";
-    case Rule::kNothingAfterAnswer:
+    case Rule::kNoAttemptAfterFinalAnswer:
       return "after";
-    case Rule::kNothingAfterDisconnect:
+    case Rule::kNoAttemptAfterDisconnect:
       return "left";
     case Rule::kDraining:
       return "drain";
@@ -58,9 +58,9 @@
 }
 
 void InvariantChecker::add_violation(Rule rule, const std::string& text) {
-  const std::string word = word_for(rule);
-  violations_[word] += 1;
-  if (first_violations_.size() < kMaxViolationTexts) first_violations_.push_back(word + ": " + text);
+  const std::string name = rule_name(rule);
+  violations_[name] += 1;
+  if (first_violations_.size() < kMaxViolationTexts) first_violations_.push_back(name + ": " + text);
 }
 
 void InvariantChecker::call_sent(const std::string& id, std::size_t node, std::size_t request_class,
@@ -78,15 +78,16 @@
   if (found == calls_.end()) return;
   Call& call = found->second;
   if (call.outcome != CallOutcome::kPending)
-    return add_violation(Rule::kOneAnswer, id + " was answered twice");
+    return add_violation(Rule::kOneFinalAnswer,
+                         id + " has more than one outcome: a call must have exactly one");
   call.outcome = outcome;
   call.ended_at = now;
   --pending_calls_;
   if (outcome == CallOutcome::kConnectionClosed) ++closed_connections_;
   if (outcome == CallOutcome::kUnanswered) {
-    add_violation(Rule::kFinalAnswer, id + " at " + nodes_[call.node] + ", given " +
-                                          milliseconds(call.timeout) + ", had no final answer after " +
-                                          milliseconds(now - call.sent_at));
+    add_violation(Rule::kFinalAnswerInTime, id + " to " + nodes_[call.node] + ", timeout " +
+                                                milliseconds(call.timeout) + ", has no final answer after " +
+                                                milliseconds(now - call.sent_at));
   }
 }
 
@@ -94,8 +95,8 @@
     const std::string& id, std::size_t server, double now, std::function<bool()> is_connected) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
-    add_violation(Rule::kKnownRequest,
-                  "'" + id + "' came to " + servers_[server] + ", and no caller sent it");
+    add_violation(Rule::kRequestSentByClient,
+                  servers_[server] + " received request id '" + id + "', which no client sent");
     return std::nullopt;
   }
   Call& call = found->second;
@@ -107,8 +108,8 @@
   return call.attempts.size() - 1;
 }
 
-// An earlier attempt whose connection the node has closed is in flight no more, whether or not its server has
-// noticed yet.
+// An earlier attempt whose connection the node has closed is no longer in flight, even if its server has not
+// processed the close yet.
 void InvariantChecker::check_hedging(const std::string& id, Call& call, double now) {
   for (AttemptIndex index = 0; index < call.attempts.size(); ++index) {
     const Attempt& earlier = call.attempts[index];
@@ -116,9 +117,9 @@
     if (!earlier.is_connected()) {
       attempt_ended(id, index, AttemptOutcome::kAbandoned, now);
     } else if (!rules_.allow_hedging) {
-      add_violation(Rule::kOneAttemptInFlight, id + " at " + nodes_[call.node] +
-                                                   " has two attempts out, at " + servers_[earlier.server] +
-                                                   " and another");
+      add_violation(Rule::kOneAttemptInFlight,
+                    id + " at " + nodes_[call.node] + " has an attempt in flight at " +
+                        servers_[earlier.server] + " and a second one started: hedging is not allowed");
     }
   }
 }
@@ -133,11 +134,13 @@
   const auto first = std::find_if(call.attempts.begin(), call.attempts.end(), may_have_run);
   if (first == call.attempts.end()) return;
   if (spec.idempotency == Idempotency::kNonIdempotent) {
-    return add_violation(Rule::kIdempotency, id + ", unsafe, may have run and came again");
+    return add_violation(Rule::kIdempotency,
+                         id + " is not idempotent and was retried after an attempt that may have run");
   }
   if (now > first->arrived_at + spec.dedup_window + kSocketSlackSeconds + event_loop_delay_) {
-    add_violation(Rule::kIdempotency,
-                  id + " came again " + milliseconds(now - first->arrived_at) + " after it may have run");
+    add_violation(Rule::kIdempotency, id + " was retried " + milliseconds(now - first->arrived_at) +
+                                          " after an attempt that may have run, deduplication window " +
+                                          milliseconds(spec.dedup_window));
   }
 }
 
@@ -145,12 +148,14 @@
   if (call.outcome == CallOutcome::kPending) return;
   const double late = now - call.ended_at - kSocketSlackSeconds - event_loop_delay_;
   if (call.outcome != CallOutcome::kClientDisconnected) {
-    if (late > 0) add_violation(Rule::kNothingAfterAnswer, id + " came to a server after its final answer");
+    if (late > 0)
+      add_violation(Rule::kNoAttemptAfterFinalAnswer,
+                    id + " has an attempt that arrived after its final answer");
   } else if (late > kDisconnectReactionSeconds &&
              ++attempts_after_disconnect_ > kMaxAttemptsAfterDisconnect) {
-    add_violation(
-        Rule::kNothingAfterDisconnect,
-        id + " came to a server " + milliseconds(now - call.ended_at) + " after its client had gone");
+    add_violation(Rule::kNoAttemptAfterDisconnect, id + " has an attempt that arrived " +
+                                                       milliseconds(now - call.ended_at) +
+                                                       " after its client disconnected");
   }
 }
 
@@ -164,7 +169,8 @@
   latest = std::max(latest, after);
   if (after > rules_.drain_grace + kSocketSlackSeconds + event_loop_delay_) {
     add_violation(Rule::kDraining, nodes_[call.node] + " sent " + id + " to " + servers_[server] + " " +
-                                       milliseconds(after) + " after it was told to send nothing new");
+                                       milliseconds(after) +
+                                       " after the notification that the server is draining or removed");
   }
 }
 
@@ -192,14 +198,14 @@
   for (auto& [id, call] : calls_) {
     if (call.outcome == CallOutcome::kPending) call_ended(id, CallOutcome::kUnanswered, now);
     for (Attempt& attempt : call.attempts) {
-      attempt.is_connected = nullptr;  // what it refers to may be destroyed before the checker
+      attempt.is_connected = nullptr;  // its captures may be destroyed before the checker
       if (attempt.outcome == AttemptOutcome::kInFlight) attempt.ended_at = now;
     }
   }
   if (closed_connections_ * kCallsPerClosedConnection > calls_.size()) {
-    add_violation(Rule::kFinalAnswer, std::to_string(closed_connections_) + " of " +
-                                          std::to_string(calls_.size()) +
-                                          " calls had their connection closed with no whole answer");
+    add_violation(Rule::kFinalAnswerInTime,
+                  std::to_string(closed_connections_) + " of " + std::to_string(calls_.size()) +
+                      " calls ended with a closed connection and no complete response");
   }
 }
 
--- a/lab/load/http_client.cpp
+++ b/lab/load/http_client.cpp
@@ -23,7 +23,7 @@
 using node::Clock;
 using Tcp = asio::ip::tcp;
 
-std::string text_of(const HttpClient::Request& request) {
+std::string request_text(const HttpClient::Request& request) {
   const std::string target =
       request.target.empty() ? "/" + request.request_class + "/" + request.id : request.target;
   std::string text = (request.is_post ? "POST " : "GET ") + target + " HTTP/1.1\r\nHost: origin.svc\r\n";
@@ -42,15 +42,17 @@
 
 }  // namespace
 
-/// One connection. It always reads: while it is idle, its end or an unsolicited response shows at once.
+/// One connection. It always has a read pending, so that it detects a close or an unsolicited response while
+/// idle.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
  public:
   explicit Connection(HttpClient& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
 
   bool is_idle() const { return is_connected_ && !on_response_; }
 
-  void connect(const Tcp::endpoint& server, std::string bytes, double patience, OnResponse on_response) {
-    begin(std::move(bytes), patience, std::move(on_response));
+  void connect(const Tcp::endpoint& server, std::string bytes, double client_timeout,
+               OnResponse on_response) {
+    begin(std::move(bytes), client_timeout, std::move(on_response));
     socket_.async_connect(server, [self = shared_from_this()](error_code error) {
       if (self->owner_ == nullptr) return;
       if (error) return self->fail(Response::Kind::kConnectFailed);
@@ -60,12 +62,12 @@
       self->read();
     });
   }
-  void reuse(std::string bytes, double patience, OnResponse on_response) {
+  void reuse(std::string bytes, double client_timeout, OnResponse on_response) {
     is_reused_ = true;
-    begin(std::move(bytes), patience, std::move(on_response));
+    begin(std::move(bytes), client_timeout, std::move(on_response));
     write();
   }
-  /// Closes the connection; nobody hears of it.
+  /// Closes the connection without a callback.
   void detach() {
     owner_ = nullptr;
     on_response_ = nullptr;
@@ -74,10 +76,10 @@
   }
 
  private:
-  void begin(std::string bytes, double patience, OnResponse on_response) {
+  void begin(std::string bytes, double client_timeout, OnResponse on_response) {
     bytes_ = std::move(bytes);
     on_response_ = std::move(on_response);
-    deadline_ = Clock::Steady::now() + Clock::to_duration(patience);
+    deadline_ = Clock::Steady::now() + Clock::to_duration(client_timeout);
     timer_.expires_at(deadline_);
     timer_.async_wait([self = shared_from_this()](error_code cancelled) {
       if (cancelled || Clock::Steady::now() < self->timer_.expiry() || self->owner_ == nullptr) return;
@@ -87,7 +89,8 @@
 
   void write() {
     asio::async_write(socket_, asio::buffer(bytes_), [self = shared_from_this()](error_code, std::size_t) {
-      // A node may answer without reading on: whether the call ended well shows as the response is read.
+      // A node may respond before it has read the whole request, so a write error is ignored: the read
+      // reports the outcome.
     });
   }
 
@@ -104,7 +107,7 @@
       return close();
     }
     if (error) {
-      // A node's close may cross a request that it has not read: the client sends that once more.
+      // The node may have closed an idle connection just as the request was sent: send it once more.
       if (is_reused_ && !parser_->got_some()) return send_on_new_connection();
       return fail(Response::Kind::kConnectionClosed);
     }
@@ -113,7 +116,7 @@
 
   void complete() {
     Response response;
-    response.kind = Response::Kind::kAnswered;
+    response.kind = Response::Kind::kReceived;
     response.status = parser_->get().result_int();
     response.body = parser_->get().body();
     const bool keep_alive = parser_->get().keep_alive();
@@ -145,7 +148,7 @@
   void close() {
     HttpClient* owner = owner_;
     detach();
-    if (owner != nullptr) owner->forget(this);
+    if (owner != nullptr) owner->remove_connection(this);
   }
 
   HttpClient* owner_;  // null once detached
@@ -154,7 +157,7 @@
   boost::beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
   std::string bytes_;
-  OnResponse on_response_;  // of the call in flight
+  OnResponse on_response_;  // of the call in flight; empty while idle
   Clock::Steady::time_point deadline_;
   bool is_connected_ = false, is_reused_ = false;
 };
@@ -165,23 +168,23 @@
   for (const std::shared_ptr<Connection>& connection : connections_) connection->detach();
 }
 
-void HttpClient::call(const Request& request, double patience, OnResponse on_response) {
-  send(text_of(request), patience, std::move(on_response), Reuse::kAllowed);
+void HttpClient::call(const Request& request, double client_timeout, OnResponse on_response) {
+  send(request_text(request), client_timeout, std::move(on_response), Reuse::kAllowed);
 }
 
-void HttpClient::send(const std::string& bytes, double patience, OnResponse on_response, Reuse reuse) {
-  // The one used last, so that those that are not needed become idle for good.
+void HttpClient::send(const std::string& bytes, double client_timeout, OnResponse on_response, Reuse reuse) {
+  // Reuse the newest idle connection, so that surplus connections stay idle until they are closed.
   const auto idle = std::find_if(connections_.rbegin(), connections_.rend(),
                                  [](const auto& connection) { return connection->is_idle(); });
   if (idle != connections_.rend() && reuse == Reuse::kAllowed) {
-    return (*idle)->reuse(bytes, patience, std::move(on_response));
+    return (*idle)->reuse(bytes, client_timeout, std::move(on_response));
   }
   connections_.push_back(std::make_shared<Connection>(*this));
-  connections_.back()->connect(server_, bytes, patience, std::move(on_response));
+  connections_.back()->connect(server_, bytes, client_timeout, std::move(on_response));
 }
 
-void HttpClient::forget(const Connection* connection) {
-  std::erase_if(connections_, [connection](const auto& known) { return known.get() == connection; });
+void HttpClient::remove_connection(const Connection* connection) {
+  std::erase_if(connections_, [connection](const auto& candidate) { return candidate.get() == connection; });
 }
 
 }  // namespace nettleyoke::lab
--- a/lab/load/http_client.h
+++ b/lab/load/http_client.h
@@ -1,6 +1,6 @@
 /// @file
-/// Calls to one node as its clients make them: one call at a time on a connection, connections kept alive,
-/// more opened when all are busy.
+/// An HTTP client of one node: one call at a time per keep-alive connection; a new connection is opened when
+/// all are busy.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,16 +16,16 @@
  public:
   struct Request {
     std::string id, request_class, tenant, idempotency_key, body;
-    double timeout = 0;  ///< s, as the request states it; 0: it states none
+    double timeout = 0;  ///< s, sent as X-Timeout-Ms; 0: the header is left out
     bool is_post = false, is_retry = false;
-    std::string target;  ///< empty: made of the class and the id
+    std::string target;  ///< empty: "/<class>/<id>"
   };
   struct Response {
     enum class Kind {
-      kAnswered,
+      kReceived,
       kConnectFailed,     ///< the node could not be reached
       kConnectionClosed,  ///< the connection ended without a complete response
-      kTimedOut           ///< no response as long as the client waited
+      kTimedOut           ///< the client timed out before a complete response
     };
     Kind kind = Kind::kTimedOut;
     unsigned status = 0;
@@ -38,17 +38,17 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Sends a request and calls `on_response` exactly once, never from within.
-  /// @param patience s that the client waits; then it closes the connection
-  void call(const Request& request, double patience, OnResponse on_response);
-  /// How many responses came that answer no request.
+  /// Sends a request. `on_response` is called exactly once, never from within this call.
+  /// @param client_timeout s until the client times out and closes the connection
+  void call(const Request& request, double client_timeout, OnResponse on_response);
+  /// The number of responses received without a request in flight.
   std::size_t unsolicited_responses() const { return unsolicited_responses_; }
 
  private:
   class Connection;
   enum class Reuse { kAllowed, kForbidden };
-  void send(const std::string& bytes, double patience, OnResponse on_response, Reuse reuse);
-  void forget(const Connection* connection);
+  void send(const std::string& bytes, double client_timeout, OnResponse on_response, Reuse reuse);
+  void remove_connection(const Connection* connection);
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint server_;
--- a/lab/load/load_generator.cpp
+++ b/lab/load/load_generator.cpp
@@ -7,7 +7,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-constexpr double kMinTimeoutSeconds = 0.001;  // the wire's times are whole milliseconds
+constexpr double kMinTimeoutSeconds = 0.001;  // X-Timeout-Ms has whole milliseconds
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   for (const TenantSpec& spec : experiment_.tenants) tenant_shares.push_back(spec.share);
   const double until = spec_.until > 0 ? std::min(spec_.until, experiment_.seconds) : experiment_.seconds;
   const double mean_pause = 1 / spec_.per_second;
-  // The order of the draws is a part of what a seed stands for.
+  // The order of the draws must not change: it determines the load of a given seed.
   for (double at = spec_.from + random.exponential(mean_pause); at < until;
        at += random.exponential(mean_pause)) {
     Arrival arrival;
@@ -101,7 +101,8 @@
   });
 }
 
-// What may have had its effect is not sent again: the node has done what the class allows.
+// A request that may have run is not retried by the client unless it is idempotent: the node has already made
+// the retries that its class allows.
 bool LoadGenerator::may_retry(const NodeUnderTest::Call& call, CallOutcome outcome) const {
   if (outcome == CallOutcome::kRejected) return true;
   return outcome == CallOutcome::kFailed &&
--- a/lab/load/load_generator.h
+++ b/lab/load/load_generator.h
@@ -1,6 +1,6 @@
 /// @file
-/// Clients from outside. The load is open-loop: calls are sent whether or not those before them were
-/// answered.
+/// The load generator of a run: clients outside the fleet. The load is open-loop: calls are sent at their
+/// arrival times, whether or not earlier calls have ended.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,31 +17,31 @@
 
 namespace nettleyoke::lab {
 
-/// Sends the calls of one load spec and retries those that may be retried. All arrivals are drawn from the
-/// seed when it is made; it owns no connection.
+/// Sends the calls of one load spec and makes the client retries that are allowed. The constructor draws all
+/// arrivals from the seed. The load generator owns no connection.
 class LoadGenerator {
  public:
-  /// @param nodes those of the first tier, which outlive this
+  /// @param nodes the nodes of the first tier; they must outlive the load generator
   LoadGenerator(boost::asio::io_context& io, const node::Clock& clock, InvariantChecker& checker,
                 const Experiment& experiment, const LoadSpec& spec, std::vector<NodeUnderTest*> nodes,
                 std::uint64_t seed);
 
   void start();
-  /// Sends no more calls from here on.
+  /// Stops sending calls and retries.
   void stop();
   std::size_t arrival_count() const { return arrivals_.size(); }
-  /// Whether all calls were sent and none waits for its retry.
+  /// Whether all calls were sent and no retry is waiting, or the load generator was stopped.
   bool is_done() const { return stopped_ || (next_arrival_ == arrivals_.size() && waiting_retries_ == 0); }
 
  private:
   struct Arrival {
-    double at = 0;  // s from the start
+    double at = 0;  // s after start()
     NodeUnderTest* node = nullptr;
     NodeUnderTest::Call call;
   };
-  // What is left of a call's time and retries.
+  // The deadline of a call and the client retries that it has left.
   struct RetryAllowance {
-    double deadline = 0;  // on the lab's clock
+    double deadline = 0;  // s on the lab's clock
     int retries_left = 0;
   };
   void draw_arrivals(std::uint64_t seed);
--- a/lab/load/random_stream.h
+++ b/lab/load/random_stream.h
@@ -1,5 +1,5 @@
 /// @file
-/// The random numbers of one part of an experiment: the same seed and part always give the same.
+/// A named stream of random numbers: the same seed and name always give the same numbers.
 #pragma once
 
 #include <boost/random/exponential_distribution.hpp>
@@ -13,42 +13,44 @@
 
 namespace nettleyoke::lab {
 
-/// A generator of its own for each part, so that parts do not shift each other's numbers.
+/// Each part of an experiment has its own stream, so that its draws do not change the numbers of other parts.
 class RandomStream {
  public:
-  RandomStream(std::uint64_t seed, std::string_view part) {
+  RandomStream(std::uint64_t seed, std::string_view name) {
     constexpr std::uint64_t kFnvOffset = 14695981039346656037ULL;  // FNV-1a
     constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
     std::uint64_t hash = kFnvOffset ^ seed;
-    for (const char letter : part) hash = (hash ^ static_cast<unsigned char>(letter)) * kFnvPrime;
+    for (const char letter : name) hash = (hash ^ static_cast<unsigned char>(letter)) * kFnvPrime;
     generator_.seed(hash ^ (seed << 32));
   }
 
-  /// At least 0, below 1.
+  /// A uniform number in [0, 1).
   double uniform() { return boost::random::uniform_01<>()(generator_); }
   double exponential(double mean) { return boost::random::exponential_distribution<>(1 / mean)(generator_); }
-  /// At least 0, below `count`, which is not 0.
+  /// A uniform index in [0, count).
+  /// @param count greater than 0
   std::size_t uniform_index(std::size_t count) {
     return boost::random::uniform_int_distribution<std::size_t>(0, count - 1)(generator_);
   }
-  /// An index into `weights`, which are not empty, in proportion to them.
+  /// A random index into `weights`, with probability proportional to the weight.
+  /// @param weights not empty
   std::size_t weighted_index(const std::vector<double>& weights) {
     double sum = 0;
     for (const double weight : weights) sum += weight;
-    double rest = uniform() * sum;
+    double remaining = uniform() * sum;
     for (std::size_t index = 0; index + 1 < weights.size(); ++index) {
-      if (rest < weights[index]) return index;
-      rest -= weights[index];
+      if (remaining < weights[index]) return index;
+      remaining -= weights[index];
     }
     return weights.size() - 1;
   }
-  /// 16 hexadecimal digits.
+  /// A random id of 16 hexadecimal digits.
   std::string hex_id() {
     constexpr std::string_view kDigits = "0123456789abcdef";
     constexpr int kDigitCount = 16;
     std::string digits;
-    std::uint64_t rest = generator_();
-    for (int i = 0; i < kDigitCount; ++i, rest >>= 4) digits += kDigits[rest & 15];
+    std::uint64_t bits = generator_();
+    for (int i = 0; i < kDigitCount; ++i, bits >>= 4) digits += kDigits[bits & 15];
     return digits;
   }
 
--- a/lab/nodes/admin_call.cpp
+++ b/lab/nodes/admin_call.cpp
@@ -18,16 +18,16 @@
 using boost::system::error_code;
 using Tcp = asio::ip::tcp;
 
-constexpr std::chrono::seconds kAnswerTimeout{2};
+constexpr std::chrono::seconds kResponseTimeout{2};
 
-/// Keeps itself alive until the line has answered or the time is up.
+/// Keeps itself alive until the admin server has responded or the timeout expires.
 class AdminCall : public std::enable_shared_from_this<AdminCall> {
  public:
-  AdminCall(asio::io_context& io, std::string command, std::function<void(std::string)> on_answer)
-      : socket_(io), timer_(io), command_(std::move(command) + "\n"), on_answer_(std::move(on_answer)) {}
+  AdminCall(asio::io_context& io, std::string command, std::function<void(std::string)> on_response)
+      : socket_(io), timer_(io), command_(std::move(command) + "\n"), on_response_(std::move(on_response)) {}
 
   void start(const Tcp::endpoint& endpoint) {
-    timer_.expires_after(kAnswerTimeout);
+    timer_.expires_after(kResponseTimeout);
     timer_.async_wait([self = shared_from_this()](error_code cancelled) {
       if (!cancelled) net::close(self->socket_);
     });
@@ -46,29 +46,29 @@
                       });
   }
   void read_to_end() {
-    asio::async_read(socket_, answer_, [self = shared_from_this()](error_code, std::size_t) {
+    asio::async_read(socket_, response_, [self = shared_from_this()](error_code, std::size_t) {
       std::ostringstream text;
-      text << &self->answer_;
+      text << &self->response_;
       self->finish(text.str());
     });
   }
-  void finish(const std::string& answer) {
+  void finish(const std::string& response) {
     timer_.cancel();
-    on_answer_(answer);
+    on_response_(response);
   }
 
   Tcp::socket socket_;
   asio::steady_timer timer_;
-  asio::streambuf answer_;
+  asio::streambuf response_;
   std::string command_;
-  std::function<void(std::string)> on_answer_;
+  std::function<void(std::string)> on_response_;
 };
 
 }  // namespace
 
 void call_admin(asio::io_context& io, const Tcp::endpoint& endpoint, const std::string& command,
-                std::function<void(std::string)> on_answer) {
-  std::make_shared<AdminCall>(io, command, std::move(on_answer))->start(endpoint);
+                std::function<void(std::string)> on_response) {
+  std::make_shared<AdminCall>(io, command, std::move(on_response))->start(endpoint);
 }
 
 }  // namespace nettleyoke::lab
--- a/lab/nodes/admin_call.h
+++ b/lab/nodes/admin_call.h
@@ -1,5 +1,5 @@
 /// @file
-/// One call on a node's admin line.
+/// One command to a node's admin server.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,8 +9,9 @@
 
 namespace nettleyoke::lab {
 
-/// Sends one command and calls `on_answer` once with what was answered, or with nothing after two seconds.
+/// Sends one command and calls `on_response` once with the response. On a connection error the response is
+/// empty; after a timeout of 2 s it holds what was received so far.
 void call_admin(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& endpoint,
-                const std::string& command, std::function<void(std::string)> on_answer);
+                const std::string& command, std::function<void(std::string)> on_response);
 
 }  // namespace nettleyoke::lab
--- a/lab/nodes/hollow_node.cpp
+++ b/lab/nodes/hollow_node.cpp
@@ -14,11 +14,12 @@
 using boost::system::error_code;
 using node::Clock;
 
-// The node's margins, but with no lower bound: nothing lies between a hollow node and its clients.
+// The deadline margin of a real node without its lower bound: there is no network between a hollow node and
+// its clients.
 constexpr node::DeadlineMargin kMargin{0};
 
-Outcome outcome_of(AttemptOutcome how) {
-  switch (how) {
+Outcome outcome_of(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::kServed:
       return Outcome::kSucceeded;
     case AttemptOutcome::kServerError:
@@ -32,8 +33,8 @@
   }
 }
 
-node::RequestResult result_of(CallOutcome ending) {
-  switch (ending) {
+node::RequestResult result_of(CallOutcome outcome) {
+  switch (outcome) {
     case CallOutcome::kServed:
       return node::RequestResult::kServed;
     case CallOutcome::kRejected:
@@ -50,13 +51,13 @@
                      [](const Attempt& attempt) { return attempt.is_open; });
 }
 
-HollowNode::HollowNode(asio::io_context& io, const Clock& clock, Place place, Servers servers,
-                       std::function<void(std::uint64_t)> in_force)
+HollowNode::HollowNode(asio::io_context& io, const Clock& clock, Options options, FindServer find_server,
+                       std::function<void(std::uint64_t)> on_list_applied)
     : io_(io),
       clock_(clock),
-      place_(std::move(place)),
-      servers_(std::move(servers)),
-      in_force_(std::move(in_force)) {}
+      options_(std::move(options)),
+      find_server_(std::move(find_server)),
+      on_list_applied_(std::move(on_list_applied)) {}
 
 HollowNode::~HollowNode() { *alive_ = false; }
 
@@ -67,23 +68,23 @@
   });
 }
 
-// ---------------------------------------------------------------- start and end
+// ---------------------------------------------------------------- start and shutdown
 
-void HollowNode::start(const std::string& config, std::function<void()> ready) {
-  const std::string file = place_.folder + "/" + place_.name + ".json";
+void HollowNode::start(const std::string& config, std::function<void()> on_ready) {
+  const std::string file = options_.folder + "/" + options_.name + ".json";
   std::ofstream(file) << config;
   config_ = node::read_config(file, clock_);
-  ready_ = std::move(ready);
+  on_ready_ = std::move(on_ready);
   rewatch_pauses_.emplace(config_.seed);
   node::ActionExecutor& executor = *this;
   decisions_ = std::make_unique<node::DecisionLoop>(clock_, config_.settings, config_.seed, executor);
   metrics_.add_classes(config_.class_names);
   start_discovery();
-  start_operators_line();
+  start_admin_server();
   if (!config_.initial_endpoint_list.endpoints.empty()) apply_endpoint_list(config_.initial_endpoint_list);
   decisions_->enqueue_event(Started{});
   if (!config_.settings.must_watch) discovery_->watch();
-  run_later(0, [this] { std::exchange(ready_, nullptr)(); });
+  run_later(0, [this] { std::exchange(on_ready_, nullptr)(); });
 }
 
 void HollowNode::start_discovery() {
@@ -101,7 +102,7 @@
           [this] { on_watch_alive(); }, [this] { on_watch_failed(); }};
 }
 
-void HollowNode::start_operators_line() {
+void HollowNode::start_admin_server() {
   disabled_servers_ = std::make_unique<node::DisabledServers>(
       io_, "", [this](const std::set<std::string>& servers) { set_disabled_servers(servers); });
   admin_server_ = std::make_unique<node::AdminServer>(
@@ -130,7 +131,7 @@
 void HollowNode::shut_down() {
   discovery_.reset();
   admin_server_.reset();
-  has_ended_ = true;
+  is_shut_down_ = true;
 }
 
 // ---------------------------------------------------------------- membership
@@ -139,7 +140,7 @@
   MembershipUpdate event = membership_.apply(update, *this);
   const bool is_new = std::exchange(list_version_, update.version) != update.version;
   decisions_->enqueue_event(std::move(event));
-  if (in_force_ && is_new) in_force_(list_version_);
+  if (on_list_applied_ && is_new) on_list_applied_(list_version_);
 }
 
 void HollowNode::on_watch_alive() {
@@ -164,21 +165,22 @@
 
 // ---------------------------------------------------------------- calls
 
-void HollowNode::call(const Call& call, std::function<void(CallOutcome)> ended) {
+void HollowNode::call(const Call& call, std::function<void(CallOutcome)> on_ended) {
   metrics_.request_started();
   InFlightCall& accepted = in_flight_calls_[call.id];
   accepted.request_class = call.request_class;
   accepted.class_number = call.class_number;
-  accepted.ended = std::move(ended);
+  accepted.on_ended = std::move(on_ended);
   accepted.time_left = call.timeout;
   if (in_flight_calls_.size() > config_.max_open_requests)
-    return answer_and_settle(call.id, CallOutcome::kRejected);
-  const double end = clock_.now() + call.timeout;
-  accepted.attempts_end_at = kMargin.attempts_end(end, call.timeout);
-  accepted.fallback_timer = end_at(kMargin.fallback_at(end, call.timeout), call.id, CallOutcome::kFailed);
+    return complete_and_erase(call.id, CallOutcome::kRejected);
+  const double deadline = clock_.now() + call.timeout;
+  accepted.attempts_end_at = kMargin.attempts_end(deadline, call.timeout);
+  accepted.fallback_timer =
+      end_call_at(kMargin.fallback_at(deadline, call.timeout), call.id, CallOutcome::kFailed);
   if (call.disconnect_after > 0) {
     accepted.disconnect_timer =
-        end_at(clock_.now() + call.disconnect_after, call.id, CallOutcome::kClientDisconnected);
+        end_call_at(clock_.now() + call.disconnect_after, call.id, CallOutcome::kClientDisconnected);
   }
   Request event;
   event.id = call.id;
@@ -194,7 +196,7 @@
   return entry == in_flight_calls_.end() ? nullptr : &entry->second;
 }
 
-HollowNode::InFlightCall* HollowNode::find_unanswered(const std::string& id) {
+HollowNode::InFlightCall* HollowNode::find_pending(const std::string& id) {
   InFlightCall* const call = find(id);
   return call == nullptr || call->is_completed() ? nullptr : call;
 }
@@ -206,39 +208,39 @@
   return attempt.is_open ? &attempt : nullptr;
 }
 
-std::unique_ptr<asio::steady_timer> HollowNode::end_at(double due_at, const std::string& id,
-                                                       CallOutcome ending) {
+std::unique_ptr<asio::steady_timer> HollowNode::end_call_at(double due_at, const std::string& id,
+                                                            CallOutcome outcome) {
   auto timer = std::make_unique<asio::steady_timer>(io_, clock_.to_time_point(due_at));
-  timer->async_wait([this, alive = alive_, id, ending](error_code cancelled) {
-    if (!cancelled && *alive) cancel_call(id, ending);
+  timer->async_wait([this, alive = alive_, id, outcome](error_code cancelled) {
+    if (!cancelled && *alive) cancel_call(id, outcome);
   });
   return timer;
 }
 
-// Its client has left, or its time is over.
-void HollowNode::cancel_call(const std::string& id, CallOutcome ending) {
-  InFlightCall* const call = find_unanswered(id);
+// Ends a call whose client disconnected or whose deadline passed.
+void HollowNode::cancel_call(const std::string& id, CallOutcome outcome) {
+  InFlightCall* const call = find_pending(id);
   if (call == nullptr) return;
-  answer(*call, ending);
+  complete(*call, outcome);
   decisions_->enqueue_event(RequestCancelled{id});
-  erase_if_settled(id);
+  erase_if_finished(id);
 }
 
-void HollowNode::answer(InFlightCall& call, CallOutcome ending) {
+void HollowNode::complete(InFlightCall& call, CallOutcome outcome) {
   call.fallback_timer.reset();
   call.disconnect_timer.reset();
-  metrics_.request_ended(call.request_class, result_of(ending));
-  asio::post(io_, [ended = std::exchange(call.ended, nullptr), ending] { ended(ending); });
+  metrics_.request_ended(call.request_class, result_of(outcome));
+  asio::post(io_, [on_ended = std::exchange(call.on_ended, nullptr), outcome] { on_ended(outcome); });
 }
 
-void HollowNode::answer_and_settle(const std::string& id, CallOutcome ending) {
-  InFlightCall* const call = find_unanswered(id);
+void HollowNode::complete_and_erase(const std::string& id, CallOutcome outcome) {
+  InFlightCall* const call = find_pending(id);
   if (call == nullptr) return;
-  answer(*call, ending);
-  erase_if_settled(id);
+  complete(*call, outcome);
+  erase_if_finished(id);
 }
 
-void HollowNode::erase_if_settled(const std::string& id) {
+void HollowNode::erase_if_finished(const std::string& id) {
   const auto entry = in_flight_calls_.find(id);
   if (entry == in_flight_calls_.end()) return;
   const InFlightCall& call = entry->second;
@@ -257,7 +259,7 @@
       std::min(call->attempts_end_at - attempt.started_at, call->time_left - kMargin.of(call->time_left));
   const double timeout = action.timeout == 0 ? time_left : std::min(action.timeout, time_left);
   if (call->is_completed() || timeout <= 0) return end_attempt_later(action.id, number, Outcome::kNotSent);
-  attempt.server = servers_(action.server);
+  attempt.server = find_server_(action.server);
   if (attempt.server == nullptr || !attempt.server->is_up()) {
     return end_attempt_later(action.id, number, Outcome::kConnectFailed);
   }
@@ -267,10 +269,10 @@
 void HollowNode::run_attempt(const std::string& id, std::size_t number, Attempt& attempt,
                              std::size_t class_number, double timeout) {
   metrics_.attempt_sent();
-  attempt.number = attempt.server->start_direct(id, place_.number, class_number, timeout,
-                                                [this, alive = alive_, id, number](AttemptOutcome how) {
-                                                  if (*alive) on_attempt_ended(id, number, outcome_of(how));
-                                                });
+  attempt.direct_id = attempt.server->start_direct(
+      id, options_.number, class_number, timeout, [this, alive = alive_, id, number](AttemptOutcome outcome) {
+        if (*alive) on_attempt_ended(id, number, outcome_of(outcome));
+      });
   attempt.timeout_timer = std::make_unique<asio::steady_timer>(io_, Clock::to_duration(timeout));
   attempt.timeout_timer->async_wait([this, alive = alive_, id, number](error_code cancelled) {
     if (!cancelled && *alive) on_attempt_timeout(id, number);
@@ -280,7 +282,7 @@
 void HollowNode::on_attempt_timeout(const std::string& id, std::size_t number) {
   Attempt* const attempt = find_open_attempt(id, number);
   if (attempt == nullptr) return;
-  attempt->server->cancel_direct(attempt->number);
+  attempt->server->cancel_direct(attempt->direct_id);
   on_attempt_ended(id, number, Outcome::kTimedOut);
 }
 
@@ -290,7 +292,7 @@
   attempt->is_open = false;
   attempt->timeout_timer.reset();
   InFlightCall& call = *find(id);
-  if (outcome == Outcome::kSucceeded && !call.is_completed()) answer(call, CallOutcome::kServed);
+  if (outcome == Outcome::kSucceeded && !call.is_completed()) complete(call, CallOutcome::kServed);
   AttemptResult event;
   event.id = id;
   event.attempt = static_cast<int>(number);
@@ -298,10 +300,10 @@
   event.elapsed = clock_.now() - attempt->started_at;
   event.request_completed = call.is_completed();
   decisions_->enqueue_event(std::move(event));
-  erase_if_settled(id);
+  erase_if_finished(id);
 }
 
-// An attempt's end is never reported from within its start.
+// Reports the end of an attempt from the event loop, never from within its start.
 void HollowNode::end_attempt_later(const std::string& id, std::size_t number, Outcome outcome) {
   run_later(0, [this, id, number, outcome] { on_attempt_ended(id, number, outcome); });
 }
@@ -311,15 +313,15 @@
   Attempt* const attempt = find_open_attempt(action.id, number);
   if (attempt == nullptr) return;
   attempt->timeout_timer.reset();
-  if (attempt->server != nullptr) attempt->server->cancel_direct(attempt->number);
+  if (attempt->server != nullptr) attempt->server->cancel_direct(attempt->direct_id);
   end_attempt_later(action.id, number, Outcome::kCancelled);
 }
 
 // ---------------------------------------------------------------- other actions
 
-void HollowNode::execute(const Reject& action) { answer_and_settle(action.id, CallOutcome::kRejected); }
+void HollowNode::execute(const Reject& action) { complete_and_erase(action.id, CallOutcome::kRejected); }
 
-void HollowNode::execute(const Fail& action) { answer_and_settle(action.id, CallOutcome::kFailed); }
+void HollowNode::execute(const Fail& action) { complete_and_erase(action.id, CallOutcome::kFailed); }
 
 void HollowNode::execute(const SetTimer& action) {
   run_later(std::max(0.0, action.due_at - clock_.now()),
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -1,8 +1,8 @@
 /// @file
-/// A hollow node: the node's own settings reader, watch on discovery, decision library, operators' line and
-/// metrics, with no listener for clients and no connections to servers. Many of them run on one event loop.
-/// Its calls go through its decision library straight to the servers' models. docs/lab.md lists what it
-/// leaves out.
+/// A hollow node: the settings reader, discovery client, decision library, admin server and metrics of a real
+/// node, without a client listener and without server connections. Many hollow nodes run on one event loop.
+/// The decision library decides about each call, and attempts go directly to the server models. docs/lab.md
+/// lists what a hollow node leaves out.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -36,25 +36,25 @@
                    private node::ActionExecutor,
                    private node::MembershipTracker::Observer {
  public:
-  struct Place {
-    std::string folder, name, zone;  ///< its configuration is kept in the folder
-    std::size_t number = 0;          ///< among the nodes that are checked
+  struct Options {
+    std::string folder, name, zone;  ///< the configuration file is written to the folder
+    std::size_t number = 0;          ///< in the checker
   };
-  /// The server of a name, or null.
-  using Servers = std::function<ServerStandIn*(const std::string& name)>;
+  /// Returns the server with this name, or null.
+  using FindServer = std::function<ServerStandIn*(const std::string& name)>;
 
-  /// @param in_force if given, hears of each list version once the decision library has it
-  HollowNode(boost::asio::io_context& io, const node::Clock& clock, Place place, Servers servers,
-             std::function<void(std::uint64_t index)> in_force = nullptr);
+  /// @param on_list_applied optional; called with each new list version once the decision library has it
+  HollowNode(boost::asio::io_context& io, const node::Clock& clock, Options options, FindServer find_server,
+             std::function<void(std::uint64_t version)> on_list_applied = nullptr);
   ~HollowNode() override;
 
   const char* kind() const override { return "hollow"; }
-  std::size_t number() const override { return place_.number; }
-  const std::string& zone() const override { return place_.zone; }
-  void start(const std::string& config, std::function<void()> ready) override;
-  void call(const Call& call, std::function<void(CallOutcome)> ended) override;
+  std::size_t number() const override { return options_.number; }
+  const std::string& zone() const override { return options_.zone; }
+  void start(const std::string& config, std::function<void()> on_ready) override;
+  void call(const Call& call, std::function<void(CallOutcome)> on_ended) override;
   void shut_down() override;
-  bool has_exited() override { return has_ended_; }
+  bool has_exited() override { return is_shut_down_; }
   int exit_status() const override { return 0; }
   Usage usage() const override { return {}; }
   std::optional<boost::asio::ip::tcp::endpoint> admin_endpoint() const override;
@@ -65,7 +65,7 @@
  private:
   struct Attempt {
     ServerStandIn* server = nullptr;
-    ServerStandIn::DirectAttemptId number = 0;
+    ServerStandIn::DirectAttemptId direct_id = 0;
     double started_at = 0;
     std::unique_ptr<boost::asio::steady_timer> timeout_timer;
     bool is_open = true;
@@ -73,17 +73,18 @@
   struct InFlightCall {
     std::string request_class;
     std::size_t class_number = 0;
-    std::function<void(CallOutcome)> ended;  // empty once the final answer is out, or nobody waits for it
+    // Empty once the final answer was sent or the client disconnected.
+    std::function<void(CallOutcome)> on_ended;
     double attempts_end_at = 0;
     double time_left = 0;
     std::unique_ptr<boost::asio::steady_timer> fallback_timer, disconnect_timer;
     std::vector<Attempt> attempts;
-    bool is_completed() const { return !ended; }
+    bool is_completed() const { return !on_ended; }
     bool has_open_attempts() const;
   };
 
   void start_discovery();
-  void start_operators_line();
+  void start_admin_server();
   node::DiscoveryClient::Listener discovery_listener();
 
   void on_server_listed(const node::Endpoint&, bool) override {}
@@ -95,15 +96,15 @@
   std::string set_enabled(const std::string& server, bool enable);
 
   [[nodiscard]] InFlightCall* find(const std::string& id);
-  [[nodiscard]] InFlightCall* find_unanswered(const std::string& id);
-  /// Null unless the attempt is open.
+  [[nodiscard]] InFlightCall* find_pending(const std::string& id);
+  /// Null unless the call exists and its attempt is open.
   [[nodiscard]] Attempt* find_open_attempt(const std::string& id, std::size_t number);
-  [[nodiscard]] std::unique_ptr<boost::asio::steady_timer> end_at(double due_at, const std::string& id,
-                                                                  CallOutcome ending);
-  void answer(InFlightCall& call, CallOutcome ending);
-  void answer_and_settle(const std::string& id, CallOutcome ending);
-  void cancel_call(const std::string& id, CallOutcome ending);
-  void erase_if_settled(const std::string& id);
+  [[nodiscard]] std::unique_ptr<boost::asio::steady_timer> end_call_at(double due_at, const std::string& id,
+                                                                       CallOutcome outcome);
+  void complete(InFlightCall& call, CallOutcome outcome);
+  void complete_and_erase(const std::string& id, CallOutcome outcome);
+  void cancel_call(const std::string& id, CallOutcome outcome);
+  void erase_if_finished(const std::string& id);
   void run_attempt(const std::string& id, std::size_t number, Attempt& attempt, std::size_t class_number,
                    double timeout);
   void on_attempt_ended(const std::string& id, std::size_t number, Outcome outcome);
@@ -118,17 +119,17 @@
   void execute(const SetTimer& action) override;
   void execute(const WatchMembership& action) override;
   void execute(const LogLine&) override {}
-  // An experiment in which the decision library fails is of no use: the exception goes on to its end.
+  // A failure of the decision library invalidates the experiment: the exception ends the run.
   void on_decision_failed(const std::exception&) override { throw; }
   void on_execution_failed(const std::exception&) override { throw; }
   void after_failed_decision(const Event&) override {}
 
   boost::asio::io_context& io_;
   const node::Clock& clock_;
-  Place place_;
-  Servers servers_;
-  std::function<void(std::uint64_t)> in_force_;
-  std::function<void()> ready_;
+  Options options_;
+  FindServer find_server_;
+  std::function<void(std::uint64_t)> on_list_applied_;
+  std::function<void()> on_ready_;
   node::Config config_;
   std::unique_ptr<node::DecisionLoop> decisions_;
   std::unique_ptr<node::DiscoveryClient> discovery_;
@@ -140,8 +141,8 @@
   node::MembershipTracker membership_;
   std::uint64_t list_version_ = 0;
   bool has_list_ = false;
-  bool has_ended_ = false;
-  // Outlived by timers that look at it.
+  bool is_shut_down_ = false;
+  // Shared with timer callbacks, which may run after the node is destroyed and then do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/lab/nodes/real_node.cpp
+++ b/lab/nodes/real_node.cpp
@@ -24,11 +24,11 @@
 using Tcp = asio::ip::tcp;
 
 constexpr std::chrono::milliseconds kStartupPollInterval{20};
-constexpr double kHealthPatienceSeconds = 2;
-constexpr int kCannotExecute = 127;  // as a shell has it
+constexpr double kHealthCheckTimeoutSeconds = 2;
+constexpr int kCannotExecute = 127;  // exit status of a shell that cannot execute a program
 
 constexpr const char* kHealthTarget = "/_health";
-// What the node's log has before its addresses.
+// The text before the addresses in the node's log.
 constexpr const char* kListenerLabel = "listening on ";
 constexpr const char* kAdminLabel = "operators at ";
 
@@ -47,17 +47,17 @@
   return options_.folder + "/" + options_.name + extension;
 }
 
-void RealNode::start(const std::string& config, std::function<void()> ready) {
-  // Made before the fork: the child allocates nothing.
+void RealNode::start(const std::string& config, std::function<void()> on_ready) {
+  // These are built before the fork, because the child must not allocate memory.
   const std::string config_file = file(".json");
   const std::string log_file = file(".log");
   std::ofstream(config_file) << config;
-  ready_ = std::move(ready);
+  on_ready_ = std::move(on_ready);
   const pid_t parent = ::getpid();
   pid_ = ::fork();
-  if (pid_ < 0) throw NodeStartError("no process for " + options_.name);
+  if (pid_ < 0) throw NodeStartError("cannot start a process for node " + options_.name + ": fork failed");
   if (pid_ == 0) {
-    // A lab that is killed leaves no node behind.
+    // The kernel kills the node when the lab process dies.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(kCannotExecute);
     execute_program(config_file, log_file);
@@ -69,7 +69,8 @@
   const int out = ::open(log_file.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
   ::dup2(out, STDOUT_FILENO);
   ::dup2(out, STDERR_FILENO);
-  // A listener that a child holds too would go on accepting after its server has crashed.
+  // Close inherited descriptors: a stand-in's listener that the child also holds would keep accepting
+  // connections after the stand-in has crashed.
   ::close_range(STDERR_FILENO + 1, ~0U, 0);
   const rlimit descriptors{options_.descriptors, options_.descriptors};
   ::setrlimit(RLIMIT_NOFILE, &descriptors);
@@ -93,9 +94,9 @@
 void RealNode::check_health() {
   HttpClient::Request request;
   request.target = kHealthTarget;
-  client_->call(request, kHealthPatienceSeconds, [this](const HttpClient::Response& response) {
+  client_->call(request, kHealthCheckTimeoutSeconds, [this](const HttpClient::Response& response) {
     if (response.status != 200) return poll_until_listening();
-    if (ready_) std::exchange(ready_, nullptr)();
+    if (on_ready_) std::exchange(on_ready_, nullptr)();
   });
 }
 
@@ -120,7 +121,8 @@
   const std::size_t name_end = text.rfind(')');
   if (name_end == std::string::npos) return usage;
   std::istringstream fields(text.substr(name_end + 1));
-  // By proc(5): fields 14 and 15 are the ticks in user and system mode, 24 the resident pages.
+  // Fields of proc(5): 14 and 15 are the clock ticks in user and system mode, 24 is the number of resident
+  // pages.
   constexpr int kFirstField = 3;
   constexpr int kUserTicksField = 14;
   constexpr int kResidentPagesField = 24;
@@ -153,7 +155,7 @@
   return node::parse_endpoint(std::string_view(text).substr(begin, line_end - begin));
 }
 
-void RealNode::call(const Call& call, std::function<void(CallOutcome)> ended) {
+void RealNode::call(const Call& call, std::function<void(CallOutcome)> on_ended) {
   HttpClient::Request request;
   request.id = call.id;
   request.request_class = call.request_class;
@@ -162,11 +164,11 @@
   request.timeout = call.timeout;
   request.is_post = call.is_post;
   request.is_retry = call.is_retry;
-  const double patience =
-      call.disconnect_after > 0 ? call.disconnect_after : checker_.answer_deadline(0, call.timeout);
-  client_->call(request, patience,
-                [this, call, ended = std::move(ended)](const HttpClient::Response& response) {
-                  ended(outcome_of(call, response));
+  const double client_timeout =
+      call.disconnect_after > 0 ? call.disconnect_after : checker_.response_deadline(0, call.timeout);
+  client_->call(request, client_timeout,
+                [this, call, on_ended = std::move(on_ended)](const HttpClient::Response& response) {
+                  on_ended(outcome_of(call, response));
                 });
 }
 
@@ -178,14 +180,15 @@
       return CallOutcome::kConnectionClosed;
     case HttpClient::Response::Kind::kTimedOut:
       return call.disconnect_after > 0 ? CallOutcome::kClientDisconnected : CallOutcome::kUnanswered;
-    case HttpClient::Response::Kind::kAnswered:
+    case HttpClient::Response::Kind::kReceived:
       break;
   }
   if (response.status == 429 || response.status == 503) return CallOutcome::kRejected;
   if (response.status != 200) return CallOutcome::kFailed;
-  // A server's response begins with the id of its request.
+  // A server's response starts with the request id.
   if (!response.body.starts_with(call.id)) {
-    checker_.add_violation(Rule::kOneAnswer, call.id + " was served with what no server made for it");
+    checker_.add_violation(Rule::kOneFinalAnswer,
+                           call.id + " has status 200, but the body does not start with its request id");
   }
   return CallOutcome::kServed;
 }
--- a/lab/nodes/real_node.h
+++ b/lab/nodes/real_node.h
@@ -1,5 +1,5 @@
 /// @file
-/// A real node: the built program as a child process, started and ended as DEPLOY has it.
+/// A real node: the built program as a child process, started and stopped as DEPLOY specifies.
 #pragma once
 
 #include <sys/types.h>
@@ -19,7 +19,7 @@
 
 namespace nettleyoke::lab {
 
-/// No process could be started for a node.
+/// The process of a node could not be started.
 struct NodeStartError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -27,21 +27,21 @@
 class RealNode : public NodeUnderTest {
  public:
   struct Options {
-    std::string program, folder;  ///< the node's files are kept in the folder
+    std::string program, folder;  ///< the configuration and log files are in the folder
     std::string name, zone;
     std::size_t number = 0;         ///< in the checker
-    std::size_t descriptors = 512;  ///< that it may have open
+    std::size_t descriptors = 512;  ///< limit of open file descriptors
   };
   RealNode(boost::asio::io_context& io, InvariantChecker& checker, Options options);
-  /// Kills the process if it still runs.
+  /// Kills the process if it is still running.
   ~RealNode() override;
 
   const char* kind() const override { return "real"; }
   std::size_t number() const override { return options_.number; }
   const std::string& zone() const override { return options_.zone; }
-  /// @throws NodeStartError when no process can be started
-  void start(const std::string& config, std::function<void()> ready) override;
-  void call(const Call& call, std::function<void(CallOutcome)> ended) override;
+  /// @throws NodeStartError if the process cannot be started
+  void start(const std::string& config, std::function<void()> on_ready) override;
+  void call(const Call& call, std::function<void(CallOutcome)> on_ended) override;
   void shut_down() override;
   bool has_exited() override;
   int exit_status() const override { return exit_status_; }
@@ -53,7 +53,8 @@
   }
   std::optional<std::uint64_t> list_version() const override { return std::nullopt; }
 
-  /// For calls of servers that stand before it, beside those of clients. It is there once the node is ready.
+  /// The client for calls to this node; the servers of the previous tier use it too. Valid once the node is
+  /// ready.
   HttpClient& client() { return *client_; }
 
  private:
@@ -68,8 +69,8 @@
   InvariantChecker& checker_;
   Options options_;
   boost::asio::steady_timer timer_;
-  std::unique_ptr<HttpClient> client_;  // once the node listens
-  std::function<void()> ready_;
+  std::unique_ptr<HttpClient> client_;  // set once the node listens
+  std::function<void()> on_ready_;
   pid_t pid_ = -1;  // while the process runs
   int exit_status_ = 0;
 };
--- a/lab/run/experiment_run.cpp
+++ b/lab/run/experiment_run.cpp
@@ -181,7 +181,7 @@
                                name + " exited with status " + std::to_string(node.exit_status()));
       }
       if (node.unsolicited_responses() > 0) {
-        checker_.add_violation(Rule::kOneAnswer, name + " sent a response that answers no request");
+        checker_.add_violation(Rule::kOneFinalAnswer, name + " sent a response that answers no request");
       }
     }
     finish();
--- a/lab/run/fleet.cpp
+++ b/lab/run/fleet.cpp
@@ -104,7 +104,7 @@
 std::unique_ptr<NodeUnderTest> Fleet::make_hollow_node(const std::string& name, const std::string& zone,
                                                        std::size_t number) {
   return std::make_unique<HollowNode>(
-      environment_.io, environment_.clock, HollowNode::Place{options_.folder, name, zone, number},
+      environment_.io, environment_.clock, HollowNode::Options{options_.folder, name, zone, number},
       [this](const std::string& server_name) { return server(server_name); },
       [this](std::uint64_t version) { on_version_in_force(version); });
 }
--- a/lab/stand_ins/server_connection.cpp
+++ b/lab/stand_ins/server_connection.cpp
@@ -25,7 +25,7 @@
     case HttpClient::Response::Kind::kTimedOut:
       return CallOutcome::kUnanswered;
     case HttpClient::Response::Kind::kConnectFailed:
-    case HttpClient::Response::Kind::kAnswered:
+    case HttpClient::Response::Kind::kReceived:
       break;
   }
   if (response.status == 200) return CallOutcome::kServed;
@@ -33,13 +33,13 @@
   return CallOutcome::kFailed;
 }
 
-// The time that a request states for its response, in s.
-double stated_timeout(const http::fields& fields, double otherwise) {
+// The timeout in the request's X-Timeout-Ms header, in s; `default_timeout` without a valid header.
+double stated_timeout(const http::fields& fields, double default_timeout) {
   const std::string text = net::header_value(fields, "X-Timeout-Ms");
   int milliseconds = 0;
   const bool is_stated =
       std::from_chars(text.data(), text.data() + text.size(), milliseconds).ec == std::errc();
-  return is_stated ? milliseconds / 1000.0 : otherwise;
+  return is_stated ? milliseconds / 1000.0 : default_timeout;
 }
 
 }  // namespace
@@ -104,7 +104,7 @@
   InvariantChecker& checker = owner_->checker_;
   if (is_processing_) {
     return checker.add_violation(Rule::kOneRequestPerConnection,
-                                 "two requests at once on a connection to " + owner_->name_);
+                                 "two requests in flight on one connection to " + owner_->name_);
   }
   request_id_ = net::header_value(request, "X-Request-ID");
   if (request_id_.empty()) return write(net::response_text(404, kReason, ""));
@@ -119,7 +119,8 @@
   is_processing_ = true;
   ++request_number_;
   const InvariantChecker::Call& call = checker.calls().at(request_id_);
-  if (owner_->is_partitioned_ && owner_->is_partitioned_(call.node)) return;  // as if its bytes were lost
+  // A partition loses the request: no response.
+  if (owner_->is_partitioned_ && owner_->is_partitioned_(call.node)) return;
   if (owner_->connections_.size() > owner_->limits_.connections) {
     return on_processed(ServerModel::Outcome::kRejected);
   }
@@ -148,7 +149,7 @@
   respond(outcome);
 }
 
-// The response needs one of the next tier, in the time that is left.
+// Calls the next tier with the time left; its response determines the response of this server.
 void ServerStandIn::Connection::call_next_tier() {
   const Clock& clock = owner_->clock_;
   InvariantChecker& checker = owner_->checker_;
@@ -163,7 +164,7 @@
   request.is_post = spec.idempotency != Idempotency::kIdempotent;
   if (spec.idempotency == Idempotency::kIdempotencyKey) request.idempotency_key = request.id;
   checker.call_sent(request.id, owner_->next_tier_.node, request_class_, time_left, now);
-  owner_->next_tier_.client->call(request, checker.answer_deadline(0, time_left),
+  owner_->next_tier_.client->call(request, checker.response_deadline(0, time_left),
                                   [weak = weak_from_this(), &checker, &clock, id = request.id,
                                    number = request_number_](const HttpClient::Response& response) {
                                     const CallOutcome outcome = call_outcome(response);
@@ -178,8 +179,8 @@
 
 void ServerStandIn::Connection::respond(ServerModel::Outcome outcome) {
   is_processing_ = false;
-  const auto record = [this](AttemptOutcome as) {
-    owner_->checker_.attempt_ended(request_id_, attempt_, as, owner_->clock_.now());
+  const auto record = [this](AttemptOutcome attempt_outcome) {
+    owner_->checker_.attempt_ended(request_id_, attempt_, attempt_outcome, owner_->clock_.now());
   };
   switch (outcome) {
     case ServerModel::Outcome::kServed:
--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -58,7 +58,7 @@
     nodes.push_back(std::make_unique<RealNode>(
         loop.io(), checker, RealNode::Options{NODE_PROGRAM, folder.string(), "real", "a", real, 512}));
     nodes.push_back(std::make_unique<HollowNode>(
-        loop.io(), clock, HollowNode::Place{folder.string(), "hollow", "a", hollow},
+        loop.io(), clock, HollowNode::Options{folder.string(), "hollow", "a", hollow},
         [this](const std::string& name) {
           const auto is_it = [&name](const auto& server) { return server->name() == name; };
           const auto at = std::find_if(servers.begin(), servers.end(), is_it);
