--- a/lab/net/http_text.cpp
+++ b/lab/net/http_text.cpp
@@ -10,9 +10,9 @@
 }
 
 std::string response_text(unsigned status, const std::string& reason, const std::string& body,
-                          const std::string& more_fields) {
+                          const std::string& extra_headers) {
   return "HTTP/1.1 " + std::to_string(status) + " " + reason +
-         "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + more_fields + "\r\n" + body;
+         "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + extra_headers + "\r\n" + body;
 }
 
 std::string chunk_text(const std::string& bytes) {
--- a/lab/run/fleet.cpp
+++ b/lab/run/fleet.cpp
@@ -30,18 +30,18 @@
 void Fleet::add_server_group(const ServerGroupSpec& spec) {
   ServerTier& tier = tiers_[to_index(spec.tier)];
   const std::vector<std::string> names = experiment_.server_names(spec.tier);
-  ServerModel::Shape shape;
-  shape.cores = spec.cores;
-  shape.slots = spec.slots;
-  shape.queue_limit = spec.queue_limit;
-  shape.initial_capacity = experiment_.settings.initial_capacity;
-  shape.slow_start_duration = experiment_.settings.slow_start_duration;
+  ServerModel::Parameters parameters;
+  parameters.cores = spec.cores;
+  parameters.slots = spec.slots;
+  parameters.queue_limit = spec.queue_limit;
+  parameters.initial_capacity = experiment_.settings.initial_capacity;
+  parameters.slow_start_duration = experiment_.settings.slow_start_duration;
   const ServerStandIn::Limits limits{to_index(spec.connection_limit), spec.idle_timeout};
   for (int i = 0; i < spec.count; ++i) {
     const std::string& name = names[tier.servers.size()];
     const std::string& zone = round_robin(spec.zones, i);
     tier.servers.push_back(std::make_unique<ServerStandIn>(environment_.io, environment_.clock,
-                                                           environment_.checker, name, shape, limits,
+                                                           environment_.checker, name, parameters, limits,
                                                            experiment_.classes, experiment_.seed));
     tier.zones.push_back(zone);
     ServerStandIn& server = *tier.servers.back();
@@ -80,7 +80,7 @@
   const std::size_t number = environment_.checker.add_node(name);
   const EndpointCatalog& catalog = tiers_[to_index(position.tier)].catalog;
   const auto notification = experiment_.settings.must_watch ? DiscoveryAgent::Notification::kWhileWatching
-                                                            : DiscoveryAgent::Notification::kAtOnce;
+                                                            : DiscoveryAgent::Notification::kImmediate;
   fleet_node.agent = std::make_unique<DiscoveryAgent>(environment_.io, environment_.clock,
                                                       environment_.checker, number, notification);
   fleet_node.agent->publish(catalog);
--- a/lab/stand_ins/discovery_agent.cpp
+++ b/lab/stand_ins/discovery_agent.cpp
@@ -19,13 +19,13 @@
 using node::Clock;
 using Tcp = asio::ip::tcp;
 
-constexpr double kHeartbeatSeconds = 2;          // between empty lines of a watch
-constexpr double kNotificationLimitSeconds = 6;  // a node counts as notified by then, whether it was or not
+constexpr double kHeartbeatSeconds = 2;          // interval between the empty lines sent on a watch
+constexpr double kNotificationLimitSeconds = 6;  // a node counts as notified by then in any case
 constexpr std::string_view kVersionParameter = "after=";
 
 }  // namespace
 
-/// One call of the node, from its request to its end.
+/// One connection of the node, with one request.
 class DiscoveryAgent::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(DiscoveryAgent& owner, Tcp::socket socket) : owner_(&owner), socket_(std::move(socket)) {}
@@ -38,14 +38,14 @@
                        self->owner_->counters_.bytes_in += size;
                        self->owner_->counters_.calls += 1;
                        self->has_request_ = true;
-                       self->answer();
+                       self->respond();
                        self->wait_for_end();
                      });
   }
-  /// Answers the request, unless discovery is down; then the owner calls this again later.
-  void answer() {
-    if (!has_request_ || is_answered_ || owner_->is_down_) return;
-    is_answered_ = true;
+  /// Sends the response, unless discovery is down; then the owner calls this again once discovery is up.
+  void respond() {
+    if (!has_request_ || is_response_sent_ || owner_->is_down_) return;
+    is_response_sent_ = true;
     const std::string target(request_.target());
     const std::string path = target.substr(0, target.find('?'));
     if (path != "/catalog/members") return send(net::response_text(404, "X", ""));
@@ -61,7 +61,7 @@
     }
     send_update();
   }
-  /// Sends what changed since the last update, if anything did.
+  /// Sends the changes since the last update, if there are any.
   void on_new_version() {
     if (version_ != owner_->catalog_.version()) send_update();
   }
@@ -75,14 +75,14 @@
     owner_ = nullptr;
     net::reset(socket_);
   }
-  /// Closes the connection; nobody hears of it.
+  /// Closes the connection without notifying the owner.
   void detach() {
     owner_ = nullptr;
     net::close(socket_);
   }
 
  private:
-  // The first update of a watch may hold no change.
+  // The first update of a watch may contain no changes.
   void send_update() {
     if (!is_watch_ || is_stalled_) return;
     const EndpointCatalog& catalog = owner_->catalog_;
@@ -107,16 +107,17 @@
   }
   void send(const std::string& bytes) {
     owner_->counters_.bytes_out += bytes.size();
-    waiting_ += bytes;
-    if (writing_.empty()) write();
+    queued_bytes_ += bytes;
+    if (bytes_in_write_.empty()) write();
   }
   void write() {
-    writing_.swap(waiting_);
-    if (writing_.empty()) return;
-    asio::async_write(socket_, asio::buffer(writing_),
+    bytes_in_write_.swap(queued_bytes_);
+    if (bytes_in_write_.empty()) return;
+    asio::async_write(socket_, asio::buffer(bytes_in_write_),
                       [self = shared_from_this()](error_code error, std::size_t) {
-                        if (self->owner_ == nullptr || error) return;  // its end shows as it is read
-                        self->writing_.clear();
+                        // A write error is ignored: wait_for_end() detects the closed connection.
+                        if (self->owner_ == nullptr || error) return;
+                        self->bytes_in_write_.clear();
                         self->write();
                       });
   }
@@ -126,9 +127,9 @@
   boost::beast::flat_buffer buffer_;
   http::request<http::empty_body> request_;
   std::array<char, 256> ignored_bytes_{};
-  std::string waiting_, writing_;
-  std::uint64_t version_ = 0;  // that the node has
-  bool has_request_ = false, is_answered_ = false, is_watch_ = false, is_stalled_ = false;
+  std::string queued_bytes_, bytes_in_write_;
+  std::uint64_t version_ = 0;  // the node's list version
+  bool has_request_ = false, is_response_sent_ = false, is_watch_ = false, is_stalled_ = false;
 };
 
 DiscoveryAgent::DiscoveryAgent(asio::io_context& io, const Clock& clock, InvariantChecker& checker,
@@ -168,16 +169,16 @@
   net::run_after(io_, delay_, [this, catalog] { apply(catalog); });
 }
 
-// A watch that has stalled sends nothing, and its node has to find that out; where nodes have to watch, the
-// same holds for one that has no watch open.
-bool DiscoveryAgent::is_notified_at_once() const {
+// A stalled watch sends nothing, and its node needs time to detect that. With kWhileWatching a node without
+// an open watch is not notified immediately either.
+bool DiscoveryAgent::is_notified_immediately() const {
   bool has_live_watch = false;
   bool has_stalled_watch = false;
   for (const std::shared_ptr<Connection>& connection : connections_) {
     has_live_watch |= connection->is_watch() && !connection->is_stalled();
     has_stalled_watch |= connection->is_stalled();
   }
-  return has_live_watch || (notification_ == Notification::kAtOnce && !has_stalled_watch);
+  return has_live_watch || (notification_ == Notification::kImmediate && !has_stalled_watch);
 }
 
 void DiscoveryAgent::apply(const EndpointCatalog& catalog) {
@@ -185,8 +186,8 @@
     missed_ = catalog;
     return;
   }
-  if (catalog.version() <= catalog_.version()) return;  // delayed, and a newer one was faster
-  const double exclusion_at = clock_.now() + (is_notified_at_once() ? 0 : kNotificationLimitSeconds);
+  if (catalog.version() <= catalog_.version()) return;  // delayed, and a newer version has been applied
+  const double exclusion_at = clock_.now() + (is_notified_immediately() ? 0 : kNotificationLimitSeconds);
   for (const EndpointEntry& entry : catalog.history_after(catalog_.version())) {
     const bool is_usable = entry.status == EndpointStatus::kUp;
     checker_.server_notified(node_, entry.name, is_usable, is_usable ? clock_.now() : exclusion_at);
@@ -204,7 +205,7 @@
   is_down_ = is_down;
   if (is_down) return;
   apply_missed();
-  for (const std::shared_ptr<Connection>& connection : connections_) connection->answer();
+  for (const std::shared_ptr<Connection>& connection : connections_) connection->respond();
 }
 
 void DiscoveryAgent::set_partitioned(bool is_partitioned) {
--- a/lab/stand_ins/discovery_agent.h
+++ b/lab/stand_ins/discovery_agent.h
@@ -1,5 +1,5 @@
 /// @file
-/// Discovery's agent beside one node, by PROTOCOL: full lists and watches on loopback.
+/// Stand-in for the discovery agent of one node, as PROTOCOL specifies: full lists and watches on loopback.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,8 +18,8 @@
 
 namespace nettleyoke::lab {
 
-/// Answers one node with what has been published to it, and tells the checker when the node counts as
-/// notified. It decides nothing about servers.
+/// Serves the published endpoint lists to one node and reports to the checker when the node counts as
+/// notified. It makes no decisions about servers.
 class DiscoveryAgent {
  public:
   struct Counters {
@@ -27,10 +27,10 @@
     std::size_t changes = 0;  ///< sent over watches
     std::size_t bytes_in = 0, bytes_out = 0;
   };
-  /// How a node learns of changes, which tells from when it counts as notified.
+  /// When a node counts as notified of a change.
   enum class Notification {
-    kAtOnce,        ///< as soon as the agent has them, unless its watch has stalled
-    kWhileWatching  ///< at once only while it has a watch open
+    kImmediate,     ///< as soon as the agent has the change, unless the node's watch has stalled
+    kWhileWatching  ///< immediately only while the node has an open watch
   };
 
   /// @param node its number in the checker
@@ -44,24 +44,25 @@
   const Counters& counters() const { return counters_; }
   std::uint64_t version() const { return catalog_.version(); }
 
-  /// Discovery sends a version. While the agent is partitioned or discovery is down it learns nothing, and
-  /// gets the last version when that is over.
+  /// Publishes a list version to the agent, after the set delay. While the agent is partitioned or discovery
+  /// is down, the agent does not apply it; the last version is applied when that ends.
   void publish(const EndpointCatalog& catalog);
-  /// Discovery is down: the agent accepts connections and answers nothing.
+  /// Sets whether discovery is down: the agent then accepts connections but sends no response.
   void set_down(bool is_down);
-  /// Nothing reaches the agent from discovery; it still answers its node.
+  /// Sets whether the agent is partitioned from discovery: it then gets no versions but still serves its
+  /// node.
   void set_partitioned(bool is_partitioned);
-  /// The agent hears of versions so many seconds late.
+  /// Delays each published version by `seconds`.
   void set_delay(double seconds) { delay_ = seconds; }
   void reset_watches();
-  /// Open watches send nothing any more.
+  /// Stalls the open watches: they stay connected but send nothing more.
   void stall_watches();
 
  private:
   class Connection;
   void apply(const EndpointCatalog& catalog);
   void apply_missed();
-  bool is_notified_at_once() const;
+  bool is_notified_immediately() const;
   void send_heartbeats();
 
   boost::asio::io_context& io_;
@@ -72,8 +73,8 @@
   net::LoopbackListener listener_;
   boost::asio::steady_timer heartbeat_timer_;
   std::set<std::shared_ptr<Connection>> connections_;
-  EndpointCatalog catalog_;                // what has been published to it
-  std::optional<EndpointCatalog> missed_;  // the last version that did not reach it
+  EndpointCatalog catalog_;                // the last version applied
+  std::optional<EndpointCatalog> missed_;  // the last version not applied while down or partitioned
   double delay_ = 0;
   bool is_down_ = false, is_partitioned_ = false;
   Counters counters_;
--- a/lab/stand_ins/endpoint_catalog.cpp
+++ b/lab/stand_ins/endpoint_catalog.cpp
@@ -10,7 +10,7 @@
 
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
 
-const char* word_for(EndpointStatus status) {
+const char* status_name(EndpointStatus status) {
   switch (status) {
     case EndpointStatus::kUp:
       return "up";
@@ -35,7 +35,7 @@
   write_text(json, "type", "m1");
   json.Key("group");
   json.Int(0);
-  write_text(json, "status", word_for(entry.status));
+  write_text(json, "status", status_name(entry.status));
   json.Key("weight");
   json.Double(1);
   json.Key("since_ms");
--- a/lab/stand_ins/endpoint_catalog.h
+++ b/lab/stand_ins/endpoint_catalog.h
@@ -1,6 +1,5 @@
 /// @file
-/// The endpoint list that discovery holds, with its history, in discovery's own JSON. Knows nothing of
-/// sockets.
+/// Discovery's endpoint list and its history, in discovery's JSON format. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,29 +16,29 @@
 struct EndpointEntry {
   std::string name, address, zone;
   EndpointStatus status = EndpointStatus::kUp;
-  std::int64_t since_ms = 0;  ///< Unix time of its start in ms; 0: long ago
+  std::int64_t since_ms = 0;  ///< Unix time of the server's start in ms; 0: unknown, long ago
 };
 
-/// Each change makes a new version, from 1 on; version 0 is the empty list.
+/// Each change creates a new version, starting at 1; version 0 is the empty list.
 class EndpointCatalog {
  public:
   std::uint64_t version() const { return version_; }
-  /// Adds or changes an entry, or removes the one of that name.
+  /// Adds or replaces the entry with this name; status kRemoved removes it.
   void set(const EndpointEntry& entry);
   /// The listed entries, by name.
   const std::map<std::string, EndpointEntry>& entries() const { return entries_; }
   /// The complete list as JSON.
   [[nodiscard]] std::string full_list() const;
-  /// What changed after a version, as JSON: of each server its last state alone.
-  /// @return nothing for a version that there never was
+  /// The changes after a version as JSON: only the last state of each changed server.
+  /// @return nullopt for a version newer than the current one
   [[nodiscard]] std::optional<std::string> changes_after(std::uint64_t version) const;
-  /// Each change after a version.
+  /// All changes after a version, in order.
   [[nodiscard]] std::vector<EndpointEntry> history_after(std::uint64_t version) const;
 
  private:
   std::uint64_t version_ = 0;
   std::map<std::string, EndpointEntry> entries_;
-  std::vector<EndpointEntry> history_;  // the change that made version i + 1
+  std::vector<EndpointEntry> history_;  // element i is the change that created version i + 1
 };
 
 }  // namespace nettleyoke::lab
--- a/lab/stand_ins/server_connection.h
+++ b/lab/stand_ins/server_connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One connection to a server stand-in. Private to the stand-in: it acts on its owner's model and checker.
+/// One connection to a server stand-in. Private to the stand-in: it uses its owner's model and checker.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -14,15 +14,16 @@
 
 namespace nettleyoke::lab {
 
-/// It always reads, also while a request is processed: so that it sees at once when its node closes.
+/// Always has a read pending, also while a request is processed, so that it detects immediately that the node
+/// closed.
 class ServerStandIn::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(ServerStandIn& owner, boost::asio::ip::tcp::socket socket);
 
   void start();
-  /// The process behind it is gone.
+  /// Resets the connection because the server's process crashed.
   void reset();
-  /// Closes the connection; nobody hears of it.
+  /// Closes the connection without notifying the owner.
   void detach();
 
  private:
@@ -38,7 +39,7 @@
   void call_next_tier();
   void respond(ServerModel::Outcome outcome);
   void write(std::string bytes);
-  // Whether the request that had this number is still the one that is processed.
+  // Whether the request with this number is still being processed.
   bool is_processing(std::uint64_t request_number) const;
 
   ServerStandIn* owner_;  // null once detached
--- a/lab/stand_ins/server_model.cpp
+++ b/lab/stand_ins/server_model.cpp
@@ -6,22 +6,23 @@
 namespace nettleyoke::lab {
 namespace {
 
-constexpr double kMinSpeed = 1e-3;  // keeps the time of a request finite
+constexpr double kMinSpeed = 1e-3;  // a lower bound that keeps processing times finite
 
 }  // namespace
 
 using boost::system::error_code;
 using node::Clock;
 
-ServerModel::ServerModel(boost::asio::io_context& io, const Clock& clock, const Shape& shape)
-    : io_(io), clock_(clock), shape_(shape) {}
+ServerModel::ServerModel(boost::asio::io_context& io, const Clock& clock, const Parameters& parameters)
+    : io_(io), clock_(clock), parameters_(parameters) {}
 
 ServerModel::~ServerModel() = default;
 
 double ServerModel::current_speed() const {
-  if (slow_start_since_ < 0 || shape_.slow_start_duration <= 0) return speed_;
-  const double part = std::clamp((clock_.now() - slow_start_since_) / shape_.slow_start_duration, 0.0, 1.0);
-  return speed_ * (shape_.initial_capacity + (1 - shape_.initial_capacity) * part);
+  if (slow_start_since_ < 0 || parameters_.slow_start_duration <= 0) return speed_;
+  const double fraction =
+      std::clamp((clock_.now() - slow_start_since_) / parameters_.slow_start_duration, 0.0, 1.0);
+  return speed_ * (parameters_.initial_capacity + (1 - parameters_.initial_capacity) * fraction);
 }
 
 ServerModel::JobId ServerModel::begin(double work, double deadline, OnEnd on_end) {
@@ -30,13 +31,13 @@
   job.work = work;
   job.deadline = deadline;
   job.on_end = std::move(on_end);
-  if (is_hanging_) return job_id;  // taken, and nothing comes of it
-  if (running_ < static_cast<std::size_t>(shape_.slots)) {
+  if (is_hanging_) return job_id;  // accepted but never processed
+  if (running_ < static_cast<std::size_t>(parameters_.slots)) {
     run(job_id);
-  } else if (queue_.size() < static_cast<std::size_t>(shape_.queue_limit)) {
+  } else if (queue_.size() < static_cast<std::size_t>(parameters_.queue_limit)) {
     queue_.push_back(job_id);
   } else {
-    end_soon(job_id, Outcome::kRejected);
+    end_later(job_id, Outcome::kRejected);
   }
   return job_id;
 }
@@ -44,8 +45,8 @@
 void ServerModel::run(JobId job_id) {
   Job& job = jobs_.at(job_id);
   ++running_;
-  // Requests that run together share the cores; one that runs already keeps the speed that it began with.
-  const double share = std::min(1.0, static_cast<double>(shape_.cores) / static_cast<double>(running_));
+  // Running requests share the cores. The speed of a request is fixed when it starts.
+  const double share = std::min(1.0, static_cast<double>(parameters_.cores) / static_cast<double>(running_));
   job.timer = std::make_unique<boost::asio::steady_timer>(
       io_, Clock::to_duration(job.work / std::max(kMinSpeed, current_speed() * share)));
   job.timer->async_wait([this, job_id](error_code cancelled) {
@@ -65,18 +66,18 @@
 }
 
 void ServerModel::run_queued() {
-  while (!queue_.empty() && running_ < static_cast<std::size_t>(shape_.slots)) {
+  while (!queue_.empty() && running_ < static_cast<std::size_t>(parameters_.slots)) {
     const JobId job_id = queue_.front();
     queue_.pop_front();
     if (jobs_.at(job_id).deadline <= clock_.now()) {
-      end_soon(job_id, Outcome::kExpired);
+      end_later(job_id, Outcome::kExpired);
     } else {
       run(job_id);
     }
   }
 }
 
-void ServerModel::end_soon(JobId job_id, Outcome outcome) {
+void ServerModel::end_later(JobId job_id, Outcome outcome) {
   Job& job = jobs_.at(job_id);
   job.timer = std::make_unique<boost::asio::steady_timer>(io_, Clock::Steady::duration::zero());
   job.timer->async_wait([this, job_id, outcome](error_code cancelled) {
@@ -92,7 +93,7 @@
   const auto found = jobs_.find(job_id);
   if (found == jobs_.end()) return;
   found->second.on_end = nullptr;
-  if (found->second.timer) return;  // it runs
+  if (found->second.timer) return;  // running, or its end is scheduled
   std::erase(queue_, job_id);
   jobs_.erase(found);
 }
--- a/lab/stand_ins/server_stand_in.cpp
+++ b/lab/stand_ins/server_stand_in.cpp
@@ -23,14 +23,14 @@
 }  // namespace
 
 ServerStandIn::ServerStandIn(boost::asio::io_context& io, const node::Clock& clock, InvariantChecker& checker,
-                             const std::string& name, const ServerModel::Shape& shape, const Limits& limits,
-                             const std::vector<ClassSpec>& classes, std::uint64_t seed)
+                             const std::string& name, const ServerModel::Parameters& parameters,
+                             const Limits& limits, const std::vector<ClassSpec>& classes, std::uint64_t seed)
     : io_(io),
       clock_(clock),
       checker_(checker),
       name_(name),
       number_(checker.add_server(name)),
-      model_(io, clock, shape),
+      model_(io, clock, parameters),
       limits_(limits),
       classes_(classes),
       random_(seed, "server " + name),
--- a/lab/stand_ins/server_stand_in.h
+++ b/lab/stand_ins/server_stand_in.h
@@ -1,6 +1,6 @@
 /// @file
-/// A server on loopback, as PROTOCOL has it: a ServerModel behind HTTP, with connections that are kept alive.
-/// Where there is a further tier it answers by a call through the node beside it.
+/// A server on loopback, as PROTOCOL specifies: a ServerModel over HTTP with keep-alive connections. If there
+/// is a next tier, the server calls it through its own node before it responds.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,27 +24,27 @@
 class ServerStandIn {
  public:
   struct Limits {
-    std::size_t connections = 256;  ///< beyond these, requests are rejected unprocessed
-    double idle_timeout = 30;       ///< s until an idle connection is closed
+    std::size_t connections = 256;  ///< above this number, requests are rejected unprocessed
+    double idle_timeout = 30;       ///< s before an idle connection is closed
   };
-  /// The way to the next tier, where there is one.
+  /// The client and node through which this server calls the next tier, if there is one.
   struct NextTier {
     HttpClient* client = nullptr;
-    std::size_t node = 0;  ///< the number of the node beside this server
+    std::size_t node = 0;  ///< the number of this server's own node in the checker
   };
-  /// Whether a partition lies between a node and this server: what is sent then is lost on the way.
+  /// Whether this server is partitioned from a node: their messages are lost.
   using IsPartitioned = std::function<bool(std::size_t node)>;
   using DirectAttemptId = std::uint64_t;
 
   ServerStandIn(boost::asio::io_context& io, const node::Clock& clock, InvariantChecker& checker,
-                const std::string& name, const ServerModel::Shape& shape, const Limits& limits,
+                const std::string& name, const ServerModel::Parameters& parameters, const Limits& limits,
                 const std::vector<ClassSpec>& classes, std::uint64_t seed);
   ~ServerStandIn();
   ServerStandIn(const ServerStandIn&) = delete;
   ServerStandIn& operator=(const ServerStandIn&) = delete;
 
   bool is_up() const { return listener_.is_open(); }
-  std::string address() const;                    ///< another one with each start
+  std::string address() const;                    ///< changes with each start()
   std::size_t number() const { return number_; }  ///< in the checker
   const std::string& name() const { return name_; }
   ServerModel& model() { return model_; }
@@ -53,16 +53,16 @@
   void set_next_tier(const NextTier& next_tier) { next_tier_ = next_tier; }
   void set_is_partitioned(IsPartitioned is_partitioned) { is_partitioned_ = std::move(is_partitioned); }
 
-  /// Starts an attempt that comes by no connection, from a hollow node. The server is up.
-  /// @param time_left s until its deadline
-  /// @param on_end called once, never from within, unless the attempt is cancelled before
+  /// Starts an attempt from a hollow node, without a connection. The server must be up.
+  /// @param time_left s until the deadline
+  /// @param on_end called once, never from within this call, unless the attempt is cancelled first
   DirectAttemptId start_direct(const std::string& id, std::size_t node, std::size_t request_class,
                                double time_left, std::function<void(AttemptOutcome)> on_end);
   void cancel_direct(DirectAttemptId attempt_id);
 
-  /// The process dies: connections are reset, new ones refused.
+  /// Crashes the process: open connections are reset and new ones refused.
   void crash();
-  /// Starts a new process at a new address.
+  /// Starts a new process on a new address, after a crash() if it is up.
   void start();
 
  private:
--- a/tests/lab/discovery_agent_test.cpp
+++ b/tests/lab/discovery_agent_test.cpp
@@ -9,7 +9,7 @@
 using node::Connection;
 
 struct DiscoveryAgentTest : StandInTest {
-  DiscoveryAgent agent{loop.io(), clock, checker, node_number, DiscoveryAgent::Notification::kAtOnce};
+  DiscoveryAgent agent{loop.io(), clock, checker, node_number, DiscoveryAgent::Notification::kImmediate};
   EndpointCatalog catalog;
 
   void SetUp() override {
--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -50,7 +50,7 @@
     std::filesystem::create_directories(folder);
     for (int i = 0; i <= kServers; ++i) {
       servers.push_back(std::make_unique<ServerStandIn>(loop.io(), clock, checker, "s" + std::to_string(i),
-                                                        ServerModel::Shape{}, ServerStandIn::Limits{},
+                                                        ServerModel::Parameters{}, ServerStandIn::Limits{},
                                                         experiment.classes, 1));
       if (i < kServers) set(i, EndpointStatus::kUp);
     }
@@ -85,7 +85,7 @@
   std::size_t add_agent(const std::string& name) {
     const std::size_t number = checker.add_node(name);
     agents.push_back(std::make_unique<DiscoveryAgent>(loop.io(), clock, checker, number,
-                                                      DiscoveryAgent::Notification::kAtOnce));
+                                                      DiscoveryAgent::Notification::kImmediate));
     agents.back()->publish(catalog);
     return number;
   }
