--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -51,7 +51,7 @@
     std::filesystem::create_directories(folder);
     for (int i = 0; i <= kServers; ++i) {
       servers.push_back(std::make_unique<ServerStandIn>(loop.io(), clock, checker, "s" + std::to_string(i),
-                                                        ServerModel::Shape{}, ServerStandIn::Limits{},
+                                                        ServerModel::Parameters{}, ServerStandIn::Limits{},
                                                         experiment.classes, 1));
       if (i < kServers) set(i, EndpointStatus::kUp);
     }
@@ -59,7 +59,7 @@
     nodes.push_back(std::make_unique<RealNode>(
         loop.io(), checker, RealNode::Options{NODE_PROGRAM, folder.string(), "real", "a", real, 512}));
     nodes.push_back(std::make_unique<HollowNode>(
-        loop.io(), clock, HollowNode::Place{folder.string(), "hollow", "a", hollow},
+        loop.io(), clock, HollowNode::Options{folder.string(), "hollow", "a", hollow},
         [this](const std::string& name) {
           const auto has_name = [&name](const auto& server) { return server->name() == name; };
           const auto found = std::find_if(servers.begin(), servers.end(), has_name);
@@ -86,7 +86,7 @@
   std::size_t add_agent(const std::string& name) {
     const std::size_t number = checker.add_node(name);
     agents.push_back(std::make_unique<DiscoveryAgent>(loop.io(), clock, checker, number,
-                                                      DiscoveryAgent::Notification::kAtOnce));
+                                                      DiscoveryAgent::Notification::kImmediate));
     agents.back()->publish(catalog);
     return number;
   }
