--- a/node/downstream/client_connection.cpp
+++ b/node/downstream/client_connection.cpp
@@ -30,9 +30,9 @@
 /// is closed at once.
 constexpr std::size_t kMaxLingeredBytes = std::size_t{256} * 1024;
 
-/// Sends as many bytes as the socket takes without blocking.
+/// Sends as many bytes as the socket accepts without blocking.
 /// @return whether all bytes were sent.
-bool send_without_waiting(tcp::socket& socket, std::string_view bytes) {
+bool try_send_all(tcp::socket& socket, std::string_view bytes) {
   const ssize_t sent =
       ::send(socket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
   return sent == static_cast<ssize_t>(bytes.size());
@@ -130,7 +130,7 @@
     response.prepare_payload();
     std::ostringstream text;
     text << response;
-    send_without_waiting(socket_, std::move(text).str());
+    try_send_all(socket_, std::move(text).str());
   }
   close();
 }
@@ -296,10 +296,9 @@
 }
 
 // Sends without an asynchronous write, which could still be pending when the response begins and would mix
-// with it. Nothing else is being written now, so the socket takes these few bytes at once or the send fails.
-bool ClientConnection::send_continue() {
-  return send_without_waiting(socket_, "HTTP/1.1 100 Continue\r\n\r\n");
-}
+// with it. Nothing else is being written now, so the socket accepts these few bytes at once or the send
+// fails.
+bool ClientConnection::send_continue() { return try_send_all(socket_, "HTTP/1.1 100 Continue\r\n\r\n"); }
 
 // Buffers or streams `size` bytes of the body. Returns false if the rest of the request must not be parsed.
 bool ClientConnection::accept_body(std::size_t size) {
--- a/node/downstream/client_connection.h
+++ b/node/downstream/client_connection.h
@@ -48,7 +48,7 @@
   /// Whether the client has sent bytes that have not been handed to the reader yet.
   bool has_unread_bytes();
   /// Closes this connection to make capacity for another one. A client that has begun a request is sent an
-  /// overload response first, as far as the socket takes it without blocking.
+  /// overload response first, as far as the socket accepts it without blocking.
   void evict();
 
   /// Whether it waits for a request and has received no byte of one.
