--- a/src/admission/sliding_window.h
+++ b/src/admission/sliding_window.h
@@ -11,24 +11,25 @@
 
 namespace nettleyoke {
 
-/// Total and rejected requests of the last few seconds, in buckets of equal length; the latest buckets also
-/// make the short rate. Owns the buckets. Does not decide which requests are rejected.
+/// Total and rejected requests of the last few seconds, in buckets of equal length. Also sums the requests of
+/// the last second, in which a rise of the rate shows sooner than in the window. Owns the buckets. Does not
+/// decide which requests are rejected.
 class SlidingWindow {
  public:
   /// Sums over the window.
   struct Sums {
     double total = 0;        ///< Requests, rejected ones included.
     double rejected = 0;     ///< Rejected requests.
-    double last_second = 0;  ///< Requests in the latest buckets, which make the short rate.
+    double last_second = 0;  ///< Requests of the last second, rejected ones included.
     [[nodiscard]] double accepted() const { return total - rejected; }
   };
 
   /// @param bucket_s Length of one bucket, s.
   /// @param bucket_count Number of buckets in the window.
-  /// @param short_bucket_count Number of latest buckets that make the short rate.
-  SlidingWindow(double bucket_s, int bucket_count, int short_bucket_count)
+  /// @param last_second_buckets Number of buckets that make up the last second.
+  SlidingWindow(double bucket_s, int bucket_count, int last_second_buckets)
       : bucket_s_(bucket_s),
-        short_bucket_count_(short_bucket_count),
+        last_second_buckets_(last_second_buckets),
         buckets_(static_cast<std::size_t>(bucket_count)) {}
 
   /// Counts one request.
@@ -48,7 +49,7 @@
       if (bucket.slot <= slot - std::ssize(buckets_)) continue;
       sums.total += bucket.total;
       sums.rejected += bucket.rejected;
-      if (bucket.slot > slot - short_bucket_count_) sums.last_second += bucket.total;
+      if (bucket.slot > slot - last_second_buckets_) sums.last_second += bucket.total;
     }
     return sums;
   }
@@ -66,7 +67,7 @@
   }
 
   double bucket_s_;
-  int short_bucket_count_;
+  int last_second_buckets_;
   std::vector<Bucket> buckets_;
 };
 
--- a/src/admission/tenant_rate_limiter.cpp
+++ b/src/admission/tenant_rate_limiter.cpp
@@ -6,18 +6,18 @@
 namespace nettleyoke {
 namespace {
 
-// A tenth of the 1 s over which the short rate is measured.
+// A tenth of the 1 s over which the rate of the last second is measured.
 constexpr double kBucketSeconds = 0.1;
 // 4 s, so that a replica with one request per second still has a few requests in the window.
 constexpr int kWindowBuckets = 40;
 constexpr double kWindowSeconds = kBucketSeconds * kWindowBuckets;
-// 1 s, the short rate of the design.
-constexpr int kShortRateBuckets = 10;
+// 1 s. The suppression factor uses the higher of the rates over the last second and over the window.
+constexpr int kLastSecondBuckets = 10;
 
 // Hard limit as a multiple of the soft limit. Rejected requests count against the hard limit too. The factor
 // is therefore high: all requests of a tenant are rejected only if the tenant floods the replica.
 constexpr double kHardLimitFactor = 20;
-// How long a suppression factor between 0 and 1 is cached; as in the design.
+// How long a suppression factor between 0 and 1 is cached.
 constexpr double kFactorCacheSeconds = 0.1;
 
 // Initial limit as a multiple of this replica's share of the quota. The limit starts high, and failures lower
@@ -47,7 +47,7 @@
 }
 
 TenantRateLimiter::TenantRateLimiter(const Tenant& tenant, const Settings& settings)
-    : name_(tenant.name), window_(kBucketSeconds, kWindowBuckets, kShortRateBuckets) {
+    : name_(tenant.name), window_(kBucketSeconds, kWindowBuckets, kLastSecondBuckets) {
   if (!tenant.quota) return;
   const double replica_quota = *tenant.quota / settings.replica_count;
   limit_floor_ = replica_quota * (settings.tier == 0 ? kFloorPerQuota : kInnerTierFloorPerQuota);
@@ -72,8 +72,8 @@
   return suppression_factor(rate_limit_, sums.total / kWindowSeconds, sums.last_second);
 }
 
-// A factor between 0 and 1 is cached, as in the design. A factor of 0 or 1 is not: each takes only a
-// comparison.
+// A factor between 0 and 1 is cached, and a new one replaces it only after kFactorCacheSeconds. A factor of 0
+// or 1 is not cached: each takes only a comparison.
 bool TenantRateLimiter::admit(double now, RandomSource& random) {
   double factor = current_suppression_factor(window_.sums(now));
   if (factor > 0 && factor < 1) {
--- a/src/admission/tenant_rate_limiter.h
+++ b/src/admission/tenant_rate_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Admission of one tenant's requests: rate limiting with a suppression factor, as described in the design.
+/// Admission of one tenant's requests: rate limiting with a suppression factor.
 #pragma once
 
 #include <string>
--- a/src/attempts/attempt_timeout.h
+++ b/src/attempts/attempt_timeout.h
@@ -8,7 +8,7 @@
 
 /// The timeout of the next attempt, s; 0 or less: a response would already be worthless. The attempt
 /// may last until its response is worthless; but if a retry is allowed and would still have time for a
-/// response, only until the attempt is clearly late.
+/// response, it may last only until the late threshold of its class (LatencyEstimate::late_threshold()).
 [[nodiscard]] double attempt_timeout(double now, const RequestState& request);
 
 }  // namespace nettleyoke
--- a/src/attempts/latency_estimate.cpp
+++ b/src/attempts/latency_estimate.cpp
@@ -12,7 +12,7 @@
 constexpr double kInitialDeviationFraction = 1.0 / 8;
 // Weight of one sample.
 constexpr double kSampleGain = 0.05;
-// Deviations above the mean after which an attempt is clearly late.
+// The late threshold, in deviations above the mean.
 constexpr double kLateDeviations = 6;
 // Upper bound of a censored sample, in deviations above the mean.
 constexpr double kMaxCensoredDeviations = 3;
--- a/src/attempts/latency_estimate.h
+++ b/src/attempts/latency_estimate.h
@@ -15,14 +15,15 @@
   explicit LatencyEstimate(double latency_objective);
 
   [[nodiscard]] double mean() const { return latency_.mean; }
-  /// Time after which an attempt is clearly late.
+  /// The late threshold: an attempt that has taken longer is unlikely to get a response soon, because almost
+  /// all responses of the class take less time. The mean plus several deviations.
   [[nodiscard]] double late_threshold() const;
   /// Least latency of recent responses; 0 before the first.
   [[nodiscard]] double recent_minimum(double now) const { return recent_minimum_.at(now); }
 
   /// How much a timeout after `elapsed` counts as a failure of the server, 0 to 1. A timeout that the
-  /// client cut short counts less: the latency of a healthy server exceeds the mean half of the time, but the
-  /// mean plus one deviation seldom.
+  /// client cut short counts less: a healthy server's latency exceeds the mean in half of the cases, but
+  /// rarely exceeds the mean plus one deviation.
   [[nodiscard]] double timeout_weight(double elapsed) const;
 
   /// The latency sample for a timeout, which is censored: the response takes longer, but it is unknown how
--- a/tests/unit/attempt_parts_test.cpp
+++ b/tests/unit/attempt_parts_test.cpp
@@ -12,8 +12,8 @@
 namespace nettleyoke {
 namespace {
 
-// A request with a latency objective of 4 s. Its latency estimate starts with a mean of 1 s, and an attempt
-// counts as clearly late 4 s after it was sent. A response is useful until the clock shows 110 s.
+// A request with a latency objective of 4 s. Its latency estimate starts with a mean of 1 s and a late
+// threshold of 4 s. A response is useful until the clock shows 110 s.
 RequestState request_of(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
   Settings settings = basic_settings(class_of(idempotency, scope));
   settings.classes[0].latency_objective = 4;
@@ -26,7 +26,7 @@
   return request;
 }
 
-TEST(AttemptTimeout, AttemptTimesOutWhenItIsClearlyLateIfARetryIsPossible) {
+TEST(AttemptTimeout, AttemptTimesOutAtTheLateThresholdIfARetryIsPossible) {
   RequestState request = request_of(Idempotency::kIdempotent);
   EXPECT_DOUBLE_EQ(attempt_timeout(100, request), 4);
   EXPECT_DOUBLE_EQ(attempt_timeout(105.5, request), 4.5) << "no time left for a retry";
