--- a/include/nettleyoke/actions.h
+++ b/include/nettleyoke/actions.h
@@ -38,7 +38,7 @@
   int attempt = 0;
 };
 
-/// Sets a timer, which ends with a TimerFired event of the same token.
+/// Sets a timer. When it expires, the host sends a TimerFired event with the same token.
 struct SetTimer {
   double due_at = 0;  ///< Time of the host's clock, s.
   std::uint64_t token = 0;
--- a/node/admin/admin_server.h
+++ b/node/admin/admin_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// The admin server: executes operators' commands, which arrive at an address of its own.
+/// The admin server: executes operators' commands, which arrive at a separate address.
 ///
 /// Owns the listening socket and at most kMaxConnections connections. The handlers implement the commands.
 #pragma once
--- a/node/downstream/connection_admission.cpp
+++ b/node/downstream/connection_admission.cpp
@@ -69,11 +69,11 @@
 }
 
 // Handles an accept that failed because no descriptor was free. A mere retry would make the event loop spin,
-// because the listener stays readable, and the clients in its queue would wait in vain. Evicts a connection,
-// or else releases the reserved descriptor to accept one client and reject its request, which may have
-// arrived already. The system reports the missing descriptor even if the queue is empty. In that case the
-// descriptor is reserved again at once: left free, it would admit the next client as one that can be served,
-// and no descriptor would remain for its attempts.
+// because the listener stays readable, and the clients in its queue would wait without a response. Evicts a
+// connection, or else releases the reserved descriptor to accept one client and reject its request, which may
+// have arrived already. The system reports the missing descriptor even if the queue is empty. In that case
+// the descriptor is reserved again at once: left free, it would admit the next client as one that can be
+// served, and no descriptor would remain for its attempts.
 void ConnectionAdmission::on_accept_failed() {
   const bool has_evicted = eviction_queue_.evict_one();
   if (!has_evicted) release_reserved_descriptor();
--- a/node/upstream/server_pool.cpp
+++ b/node/upstream/server_pool.cpp
@@ -80,7 +80,7 @@
   if (!connection->finish_connecting()) return;
   connects_in_flight_ -= 1;
   if (succeeded) {
-    // If a new server process was advertised during the connect, it is the one that accepted the connection,
+    // If a new server process was advertised during the connect, the new process has accepted the connection,
     // unless the endpoint has changed.
     if (connection->endpoint() == endpoint_) connection->set_incarnation(incarnation_);
     connection->disable_nagle();
--- a/settings_json/json_fields.h
+++ b/settings_json/json_fields.h
@@ -26,7 +26,7 @@
   /// The message is "field 'x' " followed by the reason.
   /// @param reason For example "is missing".
   FieldError(std::string field, std::string reason);
-  /// @param message Complete message, where the usual one does not fit.
+  /// @param message Complete message, if the one built from field and reason does not fit.
   FieldError(std::string field, std::string reason, const std::string& message);
 
   const std::string& field() const { return field_; }
