--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// nettleyoke-lab: runs experiments on real nodes, with servers, discovery and clients on loopback.
+/// nettleyoke-lab: runs experiments on real and hollow nodes, with stand-ins for servers and discovery and a
+/// load generator, all on loopback.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -31,7 +32,7 @@
 namespace fs = std::filesystem;
 
 constexpr int kPassed = EXIT_SUCCESS;
-constexpr int kFailed = 1;  // there were violations, or the run could not be carried out
+constexpr int kFailed = 1;  // violations, or the nodes did not start, or the results could not be written
 constexpr int kBadExperiment = 2;
 constexpr int kInterrupted = 130;  // the status that shells report after SIGINT
 
@@ -39,7 +40,7 @@
 constexpr const char* kDefaultResultsFolder = "lab-results";  // in this program's folder
 constexpr const char* kNodeProgramName = "nettleyoke";        // in this program's folder
 
-/// A run cannot be carried out or its results cannot be written.
+/// A run cannot start or its results cannot be written.
 struct LabError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -50,7 +51,8 @@
   WorkFolder() {
     std::string name = (fs::temp_directory_path() / "nettleyoke-lab-XXXXXX").string();
     if (::mkdtemp(name.data()) == nullptr)
-      throw LabError("cannot create a temporary folder for the nodes' files");
+      throw LabError("cannot create a temporary folder for node files in " +
+                     fs::temp_directory_path().string());
     path_ = name;
   }
   ~WorkFolder() {
@@ -79,6 +81,7 @@
 
 /// Shows the current step: on a terminal in one line that each step overwrites, elsewhere as one line of
 /// JSON.
+/// @param at in s from the first request
 void show_step(const std::string& step, double at) {
   if (::isatty(STDERR_FILENO) != 0) {
     std::fprintf(stderr, "\r\033[K%6.1f s  %s", at, step.c_str());
@@ -97,12 +100,12 @@
   std::ofstream file(path, std::ios::binary);
   file << text;
   file.close();
-  if (!file) throw LabError("cannot write " + path.string());
+  if (!file) throw LabError("cannot write results file " + path.string());
 }
 
 fs::path program_folder() { return fs::read_symlink("/proc/self/exe").parent_path(); }
 
-/// Raises the soft limit of descriptors to the hard limit, because each hollow node takes four descriptors.
+/// Raises the soft limit of descriptors to the hard limit, because each hollow node uses four descriptors.
 void raise_descriptor_limit() {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -113,7 +116,8 @@
 std::string find_node_program(const RunArguments& arguments) {
   std::string path = arguments.node_program.empty() ? (program_folder() / kNodeProgramName).string()
                                                     : arguments.node_program;
-  if (::access(path.c_str(), X_OK) != 0) throw LabError("no executable node program at " + path);
+  if (::access(path.c_str(), X_OK) != 0)
+    throw LabError(path + " is not an executable node program; set its path with --node");
   return path;
 }
 
@@ -130,7 +134,7 @@
     fs::copy(work_folder.path(), arguments.logs,
              fs::copy_options::recursive | fs::copy_options::overwrite_existing);
   }
-  std::cout << table << "results written to " << (folder / name).string() << ".json, .txt\n";
+  std::cout << table << "results written to " << (folder / name).string() << ".json and .txt\n";
 }
 
 int run(const RunArguments& arguments) {
@@ -163,19 +167,25 @@
 void parse(CLI::App& app, int count, char** values, Arguments& arguments) {
   RunArguments& run_arguments = arguments.run;
   app.require_subcommand(1);
-  CLI::App* run_command = app.add_subcommand("run", "Run an experiment; exit status 0: no violations");
+  CLI::App* run_command = app.add_subcommand(
+      "run",
+      "Run an experiment. Exit status: 0 no violations, 1 violations or failed run, 2 invalid experiment "
+      "file, 130 interrupted (partial results are written)");
   run_command->add_option("experiment", run_arguments.experiment, "Experiment file (.toml)")->required();
   run_command->add_option("--seed", run_arguments.seed,
-                          "Random seed; default: the seed in the experiment file");
-  run_command->add_option("--json", run_arguments.json, "Also write the JSON results to this file");
+                          "Random seed of the run; default: the seed in the experiment file");
+  run_command->add_option("--json", run_arguments.json, "Write a copy of the JSON results to this file");
   run_command->add_option("--node", run_arguments.node_program,
                           "Node executable; default: nettleyoke in the folder of this program");
-  run_command->add_option("--results", run_arguments.results,
-                          "Folder for results; default: lab-results in the folder of this program");
+  run_command->add_option(
+      "--results", run_arguments.results,
+      "Folder for the results EXPERIMENT-SEED.json and .txt; default: lab-results in the folder of this "
+      "program");
   run_command->add_option("--logs", run_arguments.logs,
-                          "Copy the logs and configurations of the nodes to this folder");
-  CLI::App* list_command = app.add_subcommand("list", "List the experiments of a folder");
-  list_command->add_option("folder", arguments.list_folder, "Folder of experiment files")
+                          "Copy the logs and configuration files of the nodes to this folder after the run");
+  CLI::App* list_command =
+      app.add_subcommand("list", "List the experiment files of a folder with their duration and title");
+  list_command->add_option("folder", arguments.list_folder, "Folder with experiment files (.toml)")
       ->capture_default_str();
   app.parse(count, values);
   arguments.command = run_command->parsed() ? Arguments::Command::kRun : Arguments::Command::kList;
@@ -186,7 +196,8 @@
 int main(int count, char** values) {
   Arguments arguments;
   CLI::App app{
-      "Runs load-balancing experiments on real nodes, with servers, discovery and clients on loopback."};
+      "Load-tests nettleyoke nodes on loopback against simulated servers and discovery, injects faults and "
+      "checks the nodes' behavior."};
   try {
     parse(app, count, values, arguments);
     return arguments.command == Arguments::Command::kRun ? run(arguments.run) : list(arguments.list_folder);
--- a/lab/report/json_report.cpp
+++ b/lab/report/json_report.cpp
@@ -11,7 +11,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-// The only mappings between outcomes and their keys in the results.
+// Only these two tables map outcomes to their keys in the results.
 struct CallOutcomeKey {
   CallOutcome outcome;
   const char* key;
--- a/lab/report/summary.cpp
+++ b/lab/report/summary.cpp
@@ -25,7 +25,7 @@
       time_with_servers += attempt.ended_at - attempt.arrived_at;
       add(attempt);
     }
-    // Hedged requests overlap, so the sum of their times with servers cannot be subtracted.
+    // Hedged requests overlap, so subtracting the sum of their times at servers would give a wrong latency.
     const bool may_overlap = call.attempts.size() > 1 && report_.experiment->settings.allow_hedging;
     if (call.outcome != CallOutcome::kServed || may_overlap) return;
     const double added = call.ended_at - call.sent_at - time_with_servers;
--- a/lab/report/summary.h
+++ b/lab/report/summary.h
@@ -9,8 +9,8 @@
 
 namespace nettleyoke::lab {
 
-/// Adds the calls, attempts and violations that the checker has recorded to a report. The report's nodes and
-/// servers must be in the checker's order.
+/// Adds the calls, attempts and violations recorded by the checker to a report. The report's nodes and
+/// servers must be in the order of their numbers in the checker.
 /// @param first_call time of the first call on the lab's clock, in s
 void add_calls(const InvariantChecker& checker, double first_call, Report& report);
 
--- a/lab/report/text_report.cpp
+++ b/lab/report/text_report.cpp
@@ -10,7 +10,7 @@
 namespace nettleyoke::lab {
 namespace {
 
-constexpr std::size_t kMaxNodeRows = 12;  // with more nodes, the tables show groups of nodes
+constexpr std::size_t kMaxNodeRows = 12;  // with more nodes, each row shows a group of nodes
 constexpr std::size_t kMaxSecondColumns = 12;
 constexpr std::size_t kMaxLineLength = 512;
 
@@ -33,18 +33,22 @@
 
 void print_head(const Report& report, std::string& out) {
   print(out, "%s: %s\n", report.experiment->name.c_str(), report.experiment->title.c_str());
-  print(out, "seed %llu, load for %.1f s; lab process: event loop up to %.1f ms late, %.1f s CPU, %.0f MB\n",
+  print(out,
+        "seed %llu, load for %.1f s; lab process: event loop at most %.1f ms late, %.1f s CPU, %.0f MB peak "
+        "memory\n",
         static_cast<unsigned long long>(report.seed), report.seconds,
         milliseconds(report.worst_event_loop_delay), report.lab_cpu, report.lab_memory_mb);
 }
 
 void print_calls(const std::vector<NodeResult>& nodes, std::string& out) {
-  print(out, "\n%-10s %8s %6s %8s %6s %6s %9s %7s %8s  added latency, ms: %8s %8s   with retries: %8s %8s\n",
+  print(out,
+        "\n%-10s %8s %6s %8s %6s %6s %9s %7s %8s  latency added by node, ms; one attempt: %8s %8s   incl. "
+        "retries: %8s %8s\n",
         "node", "requests", "served", "rejected", "failed", "closed", "cancelled", "timeout", "attempts",
         "median", "p99", "median", "p99");
   for (const NodeResult& node : nodes) {
     const auto count = [&node](CallOutcome outcome) { return count_of(node.outcomes, outcome); };
-    print(out, "%-10s %8zu %6zu %8zu %6zu %6zu %9zu %7zu %8zu  %18s %8.2f %8.2f   %13s %8.2f %8.2f\n",
+    print(out, "%-10s %8zu %6zu %8zu %6zu %6zu %9zu %7zu %8zu  %39s %8.2f %8.2f   %14s %8.2f %8.2f\n",
           node.name.c_str(), node.calls, count(CallOutcome::kServed), count(CallOutcome::kRejected),
           count(CallOutcome::kFailed), count(CallOutcome::kConnectionClosed),
           count(CallOutcome::kClientDisconnected), count(CallOutcome::kUnanswered), node.attempts, "",
@@ -55,18 +59,18 @@
 }
 
 void print_control(const std::vector<NodeResult>& nodes, std::string& out) {
-  print(out, "\n%-10s %7s %10s %9s %9s %9s %7s %7s %7s\n", "discovery", "watches", "full lists", "bytes in",
-        "bytes out", "endpoints", "down", "CPU s", "mem MB");
+  print(out, "\n%-10s %18s %10s %14s %16s %9s %7s %7s %7s\n", "node", "discovery requests", "full lists",
+        "B to discovery", "B from discovery", "endpoints", "down", "CPU s", "mem MB");
   for (const NodeResult& node : nodes) {
-    print(out, "%-10s %7zu %10zu %9zu %9zu %9zu %7zu %7.2f %7.1f\n", node.name.c_str(), node.watch_calls,
+    print(out, "%-10s %18zu %10zu %14zu %16zu %9zu %7zu %7.2f %7.1f\n", node.name.c_str(), node.watch_calls,
           node.full_lists, node.control_bytes_in, node.control_bytes_out, node.hosts_listed, node.hosts_down,
           node.cpu, node.memory_mb);
   }
 }
 
 void print_servers(const Report& report, std::string& out) {
-  print(out, "\n%-10s %6s %6s %8s %9s %6s  attempts per second\n", "server", "served", "errors", "rejected",
-        "abandoned", "conns");
+  print(out, "\n%-10s %6s %6s %8s %9s %6s  attempts in each of the first %zu seconds\n", "server", "served",
+        "errors", "rejected", "abandoned", "conns", kMaxSecondColumns);
   for (const ServerResult& server : report.servers) {
     const auto count = [&server](AttemptOutcome outcome) { return count_of(server.attempts, outcome); };
     print(out, "%-10s %6zu %6zu %8zu %9zu %6zu ", server.name.c_str(), count(AttemptOutcome::kServed),
@@ -80,22 +84,22 @@
   }
 }
 
-// A fault of a server and how the attempts to the server changed after it.
+// Prints a fault of a server and the attempts in the second of the fault, the one before and the one after.
 void print_fault(const ServerResult& server, const ServerResult::InjectedFault& fault, std::string& out) {
   const auto second = static_cast<std::size_t>(fault.at);
   const auto attempts_in = [&server](std::size_t at) {
     return at < server.attempts_by_second.size() ? server.attempts_by_second[at] : 0;
   };
   print(out, "%s: %s at %.1f s", server.name.c_str(), fault.kind.c_str(), fault.at);
-  if (second > 0) print(out, "; %zu attempts in the second before it", attempts_in(second - 1));
-  print(out, ", %zu in the second from %zu s, %zu in the next", attempts_in(second), second,
-        attempts_in(second + 1));
+  if (second > 0) print(out, "; %zu attempts in the second before", attempts_in(second - 1));
+  print(out, "; %zu attempts from %zu s to %zu s, %zu in the second after", attempts_in(second), second,
+        second + 1, attempts_in(second + 1));
   if (server.abandoned_after.count > 0) {
-    print(out, "; %zu abandoned after a median of %.0f ms", server.abandoned_after.count,
-          milliseconds(server.abandoned_after.median));
+    print(out, "; in the whole run, nodes abandoned %zu attempts after a median of %.0f ms",
+          server.abandoned_after.count, milliseconds(server.abandoned_after.median));
   }
   if (server.latest_attempt_after_notification >= 0) {
-    print(out, "; last new attempt %.0f ms after its node was notified",
+    print(out, "; last new attempt %.0f ms after the sending node was notified that the server drains",
           milliseconds(server.latest_attempt_after_notification));
   }
   out += '\n';
@@ -113,7 +117,9 @@
 void print_propagation(const Report& report, std::string& out) {
   const Quantiles times = quantiles_of(report.propagation_times);
   if (times.count == 0) return;
-  print(out, "\npropagation of changes to hollow nodes, ms: median %.1f, p99 %.1f, max %.1f (%zu)\n",
+  print(out,
+        "\ntime until hollow (in-process) nodes used a changed endpoint list, ms: "
+        "median %.1f, p99 %.1f, max %.1f (%zu times measured)\n",
         milliseconds(times.median), milliseconds(times.p99), milliseconds(times.max), times.count);
 }
 
@@ -121,7 +127,7 @@
   if (report.interrupted) out += "INTERRUPTED: these are partial results\n";
   if (report.violations.empty()) out += "no violations\n";
   for (const auto& [rule, times] : report.violations)
-    print(out, "VIOLATED %s, %zu times\n", rule.c_str(), times);
+    print(out, "VIOLATED rule \"%s\", %zu times\n", rule.c_str(), times);
   for (const std::string& text : report.first_violations) out += "  " + text + "\n";
 }
 
--- a/lab/run/event_loop_monitor.h
+++ b/lab/run/event_loop_monitor.h
@@ -1,13 +1,13 @@
 /// @file
-/// Measures the delay of the lab's own event loop. Nodes are measured on the same loop, so the time limits
-/// for nodes grow by this delay.
+/// Measures the delay of the lab's own event loop. Servers, clients and discovery run on this loop, so
+/// the times measured for nodes include its delay; the checker extends its limits for nodes by it.
 #pragma once
 
 #include <algorithm>
 
 namespace nettleyoke::lab {
 
-/// Times are in s; all of them are read from the same clock.
+/// All times are in s on the same clock.
 class EventLoopMonitor {
  public:
   /// Records that a timer due at `due` fired at `now`.
@@ -19,7 +19,7 @@
       recent_until_ = now + kRecentSeconds;
     }
   }
-  /// The longest delay within about the last second, in s.
+  /// The longest delay in about the last second, in s.
   double recent_delay() const { return recent_; }
   /// The longest delay of the whole run, in s.
   double worst_delay() const { return worst_; }
--- a/lab/run/experiment.h
+++ b/lab/run/experiment.h
@@ -19,13 +19,13 @@
   Idempotency idempotency = Idempotency::kIdempotent;
   double latency_objective = 0, client_timeout = 0, dedup_window = 0;
   double work = 0;   ///< mean CPU time of a request, in s of one core
-  double share = 1;  ///< weight of this class among all classes when calls are generated
+  double share = 1;  ///< relative frequency of this class among the calls of all classes
 };
 
 struct TenantSpec {
   std::string name;
-  double share = 1;  ///< weight of this tenant among all tenants when calls are generated
-  double quota = 0;  ///< calls per second; 0: the nodes' settings have no quota for it
+  double share = 1;  ///< relative frequency of this tenant among the calls of all tenants
+  double quota = 0;  ///< calls per second; 0: no quota
 };
 
 /// A group of identical servers. The servers of a tier are numbered across its groups: s0, s1 ... in tier 0,
@@ -52,15 +52,15 @@
     kHang,     ///< the server accepts requests and never responds
     kSlow,     ///< the server works at `factor` of its normal speed
     kFail,     ///< the server responds with status 500
-    kRecover,  ///< ends kHang, kSlow and kFail
+    kRecover,  ///< the server works normally again: ends kHang, kSlow and kFail
     kCrash,    ///< the server resets its connections and refuses new ones; discovery removes it 1 s later
     kStart,    ///< a crashed server starts again, in slow start
     kDrain,    ///< discovery lists the server as draining; the server keeps working
     kRemove,   ///< discovery removes the server from the endpoint list
-    kDiscoveryDown,   ///< for `seconds`, agents accept connections but neither respond nor receive updates
-    kResetWatches,    ///< all open watches are reset
-    kStallWatches,    ///< open watches send nothing more
-    kDelayDiscovery,  ///< from now on, agents receive changes `seconds` late
+    kDiscoveryDown,   ///< for `seconds`, agents accept connections but do not respond or get updates
+    kResetWatches,    ///< agents reset the connections of all open watches
+    kStallWatches,    ///< agents keep all open watches open but send nothing more on them
+    kDelayDiscovery,  ///< from now on, agents get changes `seconds` late
     kPartition        ///< for `seconds`, a zone and all other zones cannot reach each other
   };
   Kind kind = Kind::kHang;
@@ -89,20 +89,25 @@
   int count() const { return real_count + hollow_count; }
 };
 
-/// The settings of the nodes, except for classes, tenants and the node's own position.
+/// The settings of the nodes, except for classes, tenants, zone and replica index.
 struct SettingsSpec {
   int max_attempts = 3;
-  bool allow_hedging = false, cancel = true, must_watch = false;
+  bool allow_hedging = false;
+  bool cancel = true;       ///< nodes may close the connection of an attempt to cancel it
+  bool must_watch = false;  ///< nodes get endpoint list changes only over a watch
   double max_retry_after = 2, connect_timeout = 0.25, server_idle_timeout = 30;
+  /// Slow start: the fraction of its capacity that a server has when it starts, and the time until it has
+  /// all.
   double initial_capacity = 0.4, slow_start_duration = 3;
-  double drain_grace = 0.5, answer_slack = 0.5;
+  double drain_grace = 0.5;   ///< time after a node's notification in which a drained server may get attempts
+  double answer_slack = 0.5;  ///< of the checker: time after the client timeout in which a response counts
 };
 
 struct Experiment {
   std::string name;   ///< file name without extension
   std::string title;  ///< description from the file
   std::uint64_t seed = 1;
-  double seconds = 0;  ///< how long clients send calls
+  double seconds = 0;  ///< time during which clients send calls
   NodesSpec nodes;
   SettingsSpec settings;
   std::vector<ClassSpec> classes;
--- a/lab/run/experiment_reader.cpp
+++ b/lab/run/experiment_reader.cpp
@@ -40,7 +40,7 @@
   NodesSpec nodes;
   nodes.real_count = table.integer("count", 1, 0, kMaxNodes);
   nodes.hollow_count = table.integer("hollow", 0, 0, kMaxHollowNodes);
-  if (nodes.count() == 0) table.reject("count", "at least 1 when hollow is 0");
+  if (nodes.count() == 0) table.reject("count", "at least 1 when nodes.hollow is 0");
   nodes.memory_mb = table.integer("memory_mb", 192, 8, 2048);
   nodes.descriptors = table.integer("sockets", 512, 64, 4096);
   nodes.zones = table.strings("zones");
@@ -71,7 +71,7 @@
   if (effect == "safe") return Idempotency::kIdempotent;
   if (effect == "keyed") return Idempotency::kIdempotencyKey;
   if (effect == "unsafe") return Idempotency::kNonIdempotent;
-  table.reject("effect", "safe, keyed or unsafe");
+  table.reject("effect", "\"safe\", \"keyed\" or \"unsafe\"");
 }
 
 ClassSpec read_class(TomlTable& table) {
@@ -124,10 +124,10 @@
   if (tiers.empty() || *tiers.rbegin() + 1 != static_cast<int>(tiers.size())) {
     table.reject("servers", "in consecutive tiers that start at 0");
   }
-  // A server keeps the connection of the calling node open while it calls the next tier through the real node
-  // beside it. Hollow nodes have no connections to servers.
+  // A server calls the next tier, through a real node of that tier, while the node that sent the request
+  // keeps its connection to the server open. Hollow nodes have no connections to servers.
   if (experiment.nodes.hollow_count > 0 && experiment.tier_count() > 1) {
-    table.reject("servers", "in a single tier when nodes.hollow is above 0");
+    table.reject("servers", "in a single tier (tier = 0) when nodes.hollow is above 0");
   }
 }
 
@@ -150,9 +150,11 @@
   if (!tier) {
     table.reject("server", "the name of a server (s0, s1 ... in tier 0; t1-s0, t1-s1 ... in tier 1)");
   }
-  const bool ends_process = kind == FaultInjection::Kind::kCrash || kind == FaultInjection::Kind::kStart;
-  if (ends_process && *tier + 1 < experiment.tier_count()) {
-    table.reject("server", "a server of the last tier, because every other server has a node beside it");
+  const bool crashes_or_starts = kind == FaultInjection::Kind::kCrash || kind == FaultInjection::Kind::kStart;
+  if (crashes_or_starts && *tier + 1 < experiment.tier_count()) {
+    table.reject("server",
+                 "a server of the last tier for crash and start, because the lab cannot stop the node that "
+                 "every other server uses to call the next tier");
   }
   return server;
 }
@@ -196,7 +198,7 @@
   for (TomlTable& entry : table.tables("class", Presence::kRequired)) {
     experiment.classes.push_back(read_class(entry));
   }
-  if (experiment.classes.empty()) table.reject("class", "a list of at least one class");
+  if (experiment.classes.empty()) table.reject("class", "an array of at least one table ([[class]])");
   for (TomlTable& entry : table.tables("tenant", Presence::kOptional)) {
     experiment.tenants.push_back(read_tenant(entry));
   }
--- a/lab/run/experiment_run.cpp
+++ b/lab/run/experiment_run.cpp
@@ -32,7 +32,7 @@
 constexpr double kShutdownTimeoutSeconds =
     10;                                // until all nodes have exited, in addition to the longest call
 constexpr double kTickSeconds = 0.01;  // between checks of the event loop's delay, the nodes and the phase
-// After the longest call, until the calls that servers made to the next tier have ended.
+// Added to the longest call, so that calls from servers to the next tier can end too.
 constexpr double kServerCompletionSeconds = 0.5;
 
 InvariantChecker::Rules rules_of(const Experiment& experiment) {
@@ -74,7 +74,7 @@
   }
 
  private:
-  // Each phase ends after a time limit, whatever the nodes do.
+  // Each phase has a time limit, so the run ends even if nodes hang.
   enum class Phase { kStarting, kLoad, kLastResponses, kStats, kShuttingDown, kFinished };
 
   void on_node_ready() {
@@ -101,7 +101,7 @@
     const double now = clock_.now();
     switch (phase_) {
       case Phase::kStarting:
-        if (now >= phase_deadline_) fail("not all nodes became ready before the startup timeout");
+        if (now >= phase_deadline_) fail("not all nodes were ready within the startup timeout of 30 s");
         break;
       case Phase::kLoad:
         if (now >= phase_deadline_) await_last_responses(now);
@@ -127,7 +127,7 @@
     options_.progress("waiting for the last responses", now - first_call_);
   }
 
-  // The longest time that a call may be open, plus the time for calls of its servers to end.
+  // The longest time that a call may take, plus the time for calls from servers to the next tier to end.
   double longest_call() const {
     double timeout = 0;
     for (const ClassSpec& spec : experiment_.classes) timeout = std::max(timeout, spec.client_timeout);
@@ -181,7 +181,7 @@
                                name + " exited with status " + std::to_string(node.exit_status()));
       }
       if (node.unsolicited_responses() > 0) {
-        checker_.add_violation(Rule::kOneAnswer, name + " sent a response that answers no request");
+        checker_.add_violation(Rule::kOneAnswer, name + " sent a response without a request");
       }
     }
     finish();
@@ -201,7 +201,7 @@
     finish();
   }
 
-  // Calls that are in flight at the interruption do not count as violations.
+  // Does not close the checker: calls in flight at the interruption are no violations.
   void interrupt() {
     report_.interrupted = true;
     report_.seconds = phase_ == Phase::kStarting ? 0 : clock_.now() - first_call_;
--- a/lab/run/experiment_run.h
+++ b/lab/run/experiment_run.h
@@ -16,7 +16,7 @@
 struct RunOptions {
   std::string node_program;  ///< path of the executable
   std::string folder;        ///< for the nodes' configurations and logs
-  /// Called when a step begins. `at` is in s from the first call.
+  /// Called when a step of the run begins. `at` is in s from the first call.
   std::function<void(const std::string& step, double at)> progress;
 };
 
--- a/lab/run/fault_injector.h
+++ b/lab/run/fault_injector.h
@@ -24,7 +24,7 @@
 
   /// @param first_call time of the first call on the lab's clock; the faults' times are relative to it
   void start(double first_call);
-  /// Injects no more faults. Faults with a duration that have begun still end on time.
+  /// Injects no further faults. Injected faults with a duration still end on time.
   void stop() { timer_.cancel(); }
 
  private:
--- a/lab/run/fleet.cpp
+++ b/lab/run/fleet.cpp
@@ -52,8 +52,8 @@
   }
 }
 
-// Adds the nodes of the first tier, and for each further tier one node beside every server of the previous
-// tier.
+// Adds the nodes of the first tier. For each further tier, adds one node for every server of the previous
+// tier: the server calls the further tier through that node.
 void Fleet::add_nodes() {
   const NodesSpec& spec = experiment_.nodes;
   for (int i = 0; i < spec.real_count; ++i) {
@@ -180,7 +180,8 @@
   }
 }
 
-// Hollow nodes are only in the first tier. The version that a node starts with was not published.
+// Only called for hollow nodes, which are all in the first tier. The version in the initial endpoint list has
+// no publication time.
 void Fleet::on_version_in_force(std::uint64_t version) {
   const auto published = published_at_.find(version);
   if (published == published_at_.end()) return;
--- a/lab/run/fleet.h
+++ b/lab/run/fleet.h
@@ -1,6 +1,6 @@
 /// @file
 /// The servers, discovery agents and nodes of a run. The fleet creates them and finds them by name, tier and
-/// zone; the timing of a run is up to its users.
+/// zone. It does not start nodes, send load or decide when faults begin.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,11 +22,11 @@
 
 namespace nettleyoke::lab {
 
-/// The servers of a tier, with discovery's list of them.
+/// The servers of a tier and discovery's endpoint list of them.
 struct ServerTier {
   EndpointCatalog catalog;
   std::vector<std::unique_ptr<ServerStandIn>> servers;
-  std::vector<std::string> zones;  ///< of the servers, in their order
+  std::vector<std::string> zones;  ///< the zone of each server, in the order of `servers`
 };
 
 /// A node with its discovery agent.
@@ -41,7 +41,7 @@
 
 class Fleet {
  public:
-  /// What the fleet uses. All of it must outlive the fleet.
+  /// Objects that the fleet uses. They must outlive the fleet.
   struct Environment {
     boost::asio::io_context& io;
     const node::Clock& clock;
@@ -65,16 +65,18 @@
   /// @return null when no server has that name
   ServerStandIn* server(const std::string& name) const;
 
-  /// Makes every server with a next tier call that tier through the node beside it. All nodes must be ready.
+  /// Makes every server outside the last tier call the next tier through its own node of that tier. All nodes
+  /// must be ready.
   void connect_tiers();
   /// Publishes a server's status through discovery.
   /// @param since_ms Unix time of the server's start in ms; 0: the listed time stays
   void publish_status(const ServerStandIn& server, EndpointStatus status, std::int64_t since_ms);
-  /// Partitions a zone from all other zones: what nodes send across the border is lost. Empty: no partition.
+  /// Partitions a zone from all other zones: data sent between the zone and other zones is lost.
+  /// Empty: no partition.
   void set_partitioned_zone(const std::string& zone) { partitioned_zone_ = zone; }
 
-  /// Times from the publication of a change until a hollow node's balancer has it in force, in s: one for
-  /// each change and hollow node.
+  /// Times from the publication of an endpoint list change until a hollow node's balancer uses it, in s: one
+  /// for each change and hollow node.
   const std::vector<double>& propagation_times() const { return propagation_times_; }
 
  private:
--- a/lab/run/node_settings.cpp
+++ b/lab/run/node_settings.cpp
@@ -11,6 +11,7 @@
 namespace {
 
 // Settings that are the same in all experiments.
+// The value of a response after the latency objective; 1 is the value of a response before it.
 constexpr double kLateValue = 0.5;
 constexpr double kGranularitySeconds = 0.005;
 constexpr double kNodeAnswerSlackSeconds = 0.02;
--- a/lab/run/node_settings.h
+++ b/lab/run/node_settings.h
@@ -23,7 +23,7 @@
 struct NodeIdentity {
   std::string name;
   std::string discovery;      ///< address of the node's discovery agent
-  std::string endpoint_list;  ///< the list that the node starts with, in discovery's JSON format
+  std::string endpoint_list;  ///< initial endpoint list, in discovery's JSON format
 };
 
 /// The complete configuration of a node as JSON.
--- a/lab/run/run_results.h
+++ b/lab/run/run_results.h
@@ -16,7 +16,7 @@
 /// @param result the node's entry in the report
 void collect_node(const Fleet& fleet, const FleetNode& fleet_node, NodeResult& result);
 
-/// Records the servers' connections and work, the propagation times and the resource usage of the lab's
+/// Records the servers' connections and CPU time, the propagation times and the resource usage of the lab's
 /// process.
 void collect_run(const Fleet& fleet, Report& report);
 
--- a/lab/run/toml_table.h
+++ b/lab/run/toml_table.h
@@ -1,6 +1,6 @@
 /// @file
-/// A table of a TOML file, read field by field with type and range checks. It is independent of what the file
-/// describes.
+/// A table of a TOML file, read field by field with type and range checks. It contains nothing specific to
+/// experiments.
 #pragma once
 
 #define TOML_EXCEPTIONS 1
@@ -22,7 +22,7 @@
   TomlTable(const std::string& file, std::string name, const toml::table& table)
       : file_(&file), name_(std::move(name)), table_(&table) {}
 
-  /// @param expected what the field must be
+  /// @param expected what the field must be; the error reads "FIELD must be EXPECTED"
   /// @throws ExperimentError always
   [[noreturn]] void reject(const std::string& field, const std::string& expected) const;
 
--- a/tests/lab/discovery_agent_test.cpp
+++ b/tests/lab/discovery_agent_test.cpp
@@ -46,8 +46,8 @@
   const std::string next = read_until(watch, "}]}");
   EXPECT_NE(next.find(R"("index":3,"snapshot":false)"), std::string::npos) << next;
   EXPECT_NE(next.find(R"("status":"draining")"), std::string::npos) << next;
-  EXPECT_NE(read_until(watch, "1\r\n\n\r\n"), "");  // an empty line while nothing changes
-  // After a version that the agent never had, it sends the full list.
+  EXPECT_NE(read_until(watch, "1\r\n\n\r\n"), "");  // while nothing changes, the agent sends empty lines
+  // For a watch from a version that the agent never had, it sends the full list.
   Connection other = get("?watch=1&after=99");
   const std::string full = read_until(other, "}]}");
   EXPECT_NE(full.find(R"("index":3,"snapshot":true)"), std::string::npos) << full;
@@ -77,7 +77,7 @@
   });
   Connection next = get("?watch=1&after=2");
   EXPECT_NE(read_until(next, "}]}").find(R"("status":"draining")"), std::string::npos);
-  read_until(next, "1\r\n\n\r\n");  // an empty line; on the stalled watch nothing is sent
+  read_until(next, "1\r\n\n\r\n");  // an empty line; the agent sends nothing on the stalled watch
   ::shutdown(stalled.fd(), SHUT_RD);
   EXPECT_EQ(read_until(stalled, "draining"), "");
 }
--- a/tests/lab/experiment_reader_test.cpp
+++ b/tests/lab/experiment_reader_test.cpp
@@ -54,7 +54,8 @@
             ":13: change.at must be a number from 0 to 1");
   EXPECT_EQ(error_of(good + "[[servers]]\ncount = 1\ntier = 2\n"),
             ":8: servers must be in consecutive tiers that start at 0");
-  EXPECT_EQ(error_of(good + "[nodes]\ncount = 0\n"), ":13: nodes.count must be at least 1 when hollow is 0");
+  EXPECT_EQ(error_of(good + "[nodes]\ncount = 0\n"),
+            ":13: nodes.count must be at least 1 when nodes.hollow is 0");
 }
 
 TEST(ExperimentReader, EachFaultWord_IsReadAndWrittenUnchanged) {
--- a/tests/lab/hollow_node_test.cpp
+++ b/tests/lab/hollow_node_test.cpp
@@ -1,5 +1,5 @@
-// A hollow node and a real one, given the same changes and calls, agree in decisions, control bytes and
-// state.
+// A hollow node and a real node that get the same endpoint list changes and calls use servers of
+// the same subset, send equally long discovery requests and report the same metrics.
 #include "nodes/hollow_node.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 Experiment one_class_experiment() {
   Experiment experiment;
   experiment.nodes.zones = {"a"};
-  experiment.settings.max_attempts = 1;  // so that the counts don't depend on the speed of the machine
+  experiment.settings.max_attempts = 1;  // retries on a slow machine would change the counts
   ClassSpec spec;
   spec.name = "look";
   spec.latency_objective = spec.client_timeout = 30;
@@ -157,7 +157,7 @@
     const std::string index = std::to_string(catalog.version());
     EXPECT_EQ(admin(node_index, "DISABLE " + subset[2]), "YES\n");
     EXPECT_EQ(admin(node_index, "DISABLE nobody"), "NO unknown server\n");
-    // The node has applied the changes once it accepts a command for the new server.
+    // The node rejects commands for a server until its endpoint list contains that server.
     EXPECT_TRUE(node::eventually([&] { return admin(node_index, "ENABLE s12") == "YES\n"; }));
   }
   for (std::size_t node_index = 0; node_index < nodes.size(); ++node_index) {
--- a/tests/lab/invariant_checker_test.cpp
+++ b/tests/lab/invariant_checker_test.cpp
@@ -1,4 +1,4 @@
-// The violations that the checker counts for calls that keep or break each rule.
+// The violations that the checker counts for calls that comply with a rule and for calls that violate it.
 #include "checks/invariant_checker.h"
 
 #include "lab_harness.h"
--- a/tests/lab/lab_harness.h
+++ b/tests/lab/lab_harness.h
@@ -1,6 +1,6 @@
 /// @file
-/// The harness of the lab's tests: an event loop in a separate thread, request classes and rules, and the
-/// fixture of the tests of stand-ins.
+/// The harness of the lab's tests: an event loop in a separate thread, request classes and rules, and a
+/// fixture for tests of stand-ins.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/lab/lab_program_test.cpp
+++ b/tests/lab/lab_program_test.cpp
@@ -73,7 +73,7 @@
     EXPECT_FALSE(document.HasParseError());
     return document;
   }
-  // The number of processes whose configuration is in the folder, which are the run's nodes.
+  // The number of this run's node processes: those whose configuration file is in the folder.
   int running_nodes() const {
     int count = 0;
     for (const fs::directory_entry& process : fs::directory_iterator("/proc")) {
@@ -109,8 +109,8 @@
   for (const rapidjson::Value& node : results["nodes"].GetArray()) {
     calls += node["calls"].GetUint64();
     served += node["served"].GetUint64();
-    // Whatever happened to the watch, the latest version has arrived: it is in force in a hollow node, and
-    // for a real node the agent has it.
+    // The faults must not lose an update: a hollow node uses the latest version, and the agent of a real node
+    // has it.
     EXPECT_EQ(node["list_index"].GetUint64(), node["latest_index"].GetUint64());
     EXPECT_GE(node["watch_calls"].GetUint64(), 1U);
     EXPECT_EQ(node["stats"]["inflight"].GetUint64(), 0U);
--- a/tests/lab/load_generator_test.cpp
+++ b/tests/lab/load_generator_test.cpp
@@ -18,7 +18,7 @@
   void start(const std::string& /*config*/, std::function<void()> /*ready*/) override {}
   void call(const Call& call, std::function<void(CallOutcome)> ended) override {
     calls.push_back(call);
-    if (rejections_left == 0) return;  // no answer; the load generator must continue
+    if (rejections_left == 0) return;  // the load generator must continue without an answer
     --rejections_left;
     boost::asio::post(io, [ended = std::move(ended)] { ended(CallOutcome::kRejected); });
   }
