--- a/lab/checks/invariant_checker.cpp
+++ b/lab/checks/invariant_checker.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kSocketSlackSeconds = 0.05;        // tolerance for socket delays, added to each time limit
 constexpr double kDisconnectReactionSeconds = 0.1;  // time for a node to react to a disconnect
-constexpr std::size_t kMaxAttemptsAfterDisconnect = 2;  // tolerated per run
+constexpr std::size_t kMaxAttemptsAfterDisconnect = 2;  // allowed per run
 constexpr std::size_t kCallsPerClosedConnection = 200;  // one closed connection per so many calls is allowed
 constexpr std::size_t kMaxViolationTexts = 20;
 
@@ -79,15 +79,15 @@
   Call& call = found->second;
   if (call.outcome != CallOutcome::kPending)
     return add_violation(Rule::kOneFinalAnswer,
-                         id + " has more than one outcome: a call must have exactly one");
+                         "call " + id + " has more than one outcome; it must have exactly one");
   call.outcome = outcome;
   call.ended_at = now;
   --pending_calls_;
   if (outcome == CallOutcome::kConnectionClosed) ++closed_connections_;
   if (outcome == CallOutcome::kUnanswered) {
-    add_violation(Rule::kFinalAnswerInTime, id + " to " + nodes_[call.node] + ", timeout " +
-                                                milliseconds(call.timeout) + ", has no final answer after " +
-                                                milliseconds(now - call.sent_at));
+    add_violation(Rule::kFinalAnswerInTime,
+                  "call " + id + " to node " + nodes_[call.node] + " has no final answer after " +
+                      milliseconds(now - call.sent_at) + "; its timeout is " + milliseconds(call.timeout));
   }
 }
 
@@ -96,7 +96,7 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
     add_violation(Rule::kRequestSentByClient,
-                  servers_[server] + " received request id '" + id + "', which no client sent");
+                  "server " + servers_[server] + " received request id '" + id + "', which no client sent");
     return std::nullopt;
   }
   Call& call = found->second;
@@ -118,8 +118,9 @@
       attempt_ended(id, index, AttemptOutcome::kAbandoned, now);
     } else if (!rules_.allow_hedging) {
       add_violation(Rule::kOneAttemptInFlight,
-                    id + " at " + nodes_[call.node] + " has an attempt in flight at " +
-                        servers_[earlier.server] + " and a second one started: hedging is not allowed");
+                    "node " + nodes_[call.node] + " started a second attempt for call " + id +
+                        " while one was in flight to server " + servers_[earlier.server] +
+                        "; the settings do not allow hedged requests");
     }
   }
 }
@@ -127,19 +128,22 @@
 void InvariantChecker::check_idempotency(const std::string& id, const Call& call, double now) {
   const ClassSpec& spec = rules_.classes[call.request_class];
   if (spec.idempotency == Idempotency::kIdempotent) return;
-  const auto may_have_run = [](const Attempt& attempt) {
+  const auto may_be_processed = [](const Attempt& attempt) {
     return attempt.outcome != AttemptOutcome::kRejected;
   };
-  // The deduplication window runs from the first attempt that may have run.
-  const auto first = std::find_if(call.attempts.begin(), call.attempts.end(), may_have_run);
+  // The deduplication window starts with the first attempt that a server may have processed.
+  const auto first = std::find_if(call.attempts.begin(), call.attempts.end(), may_be_processed);
   if (first == call.attempts.end()) return;
   if (spec.idempotency == Idempotency::kNonIdempotent) {
     return add_violation(Rule::kIdempotency,
-                         id + " is not idempotent and was retried after an attempt that may have run");
+                         "node " + nodes_[call.node] + " retried call " + id +
+                             ", which is not idempotent, after an attempt that a server may have processed");
   }
   if (now > first->arrived_at + spec.dedup_window + kSocketSlackSeconds + event_loop_delay_) {
-    add_violation(Rule::kIdempotency, id + " was retried " + milliseconds(now - first->arrived_at) +
-                                          " after an attempt that may have run, deduplication window " +
+    add_violation(Rule::kIdempotency, "node " + nodes_[call.node] + " retried call " + id + " " +
+                                          milliseconds(now - first->arrived_at) +
+                                          " after an attempt that a server may have processed; the "
+                                          "deduplication window is " +
                                           milliseconds(spec.dedup_window));
   }
 }
@@ -150,12 +154,12 @@
   if (call.outcome != CallOutcome::kClientDisconnected) {
     if (late > 0)
       add_violation(Rule::kNoAttemptAfterFinalAnswer,
-                    id + " has an attempt that arrived after its final answer");
+                    "an attempt for call " + id + " arrived at a server after the final answer of the call");
   } else if (late > kDisconnectReactionSeconds &&
              ++attempts_after_disconnect_ > kMaxAttemptsAfterDisconnect) {
-    add_violation(Rule::kNoAttemptAfterDisconnect, id + " has an attempt that arrived " +
+    add_violation(Rule::kNoAttemptAfterDisconnect, "an attempt for call " + id + " arrived at a server " +
                                                        milliseconds(now - call.ended_at) +
-                                                       " after its client disconnected");
+                                                       " after the client disconnected");
   }
 }
 
@@ -168,9 +172,9 @@
   double& latest = latest_attempt_after_notification_[server];
   latest = std::max(latest, after);
   if (after > rules_.drain_grace + kSocketSlackSeconds + event_loop_delay_) {
-    add_violation(Rule::kDraining, nodes_[call.node] + " sent " + id + " to " + servers_[server] + " " +
-                                       milliseconds(after) +
-                                       " after the notification that the server is draining or removed");
+    add_violation(Rule::kDraining, "node " + nodes_[call.node] + " sent call " + id + " to server " +
+                                       servers_[server] + " " + milliseconds(after) +
+                                       " after the node was notified that the server is draining or removed");
   }
 }
 
@@ -205,7 +209,9 @@
   if (closed_connections_ * kCallsPerClosedConnection > calls_.size()) {
     add_violation(Rule::kFinalAnswerInTime,
                   std::to_string(closed_connections_) + " of " + std::to_string(calls_.size()) +
-                      " calls ended with a closed connection and no complete response");
+                      " calls ended because the node closed the connection without a complete response; "
+                      "at most 1 in " +
+                      std::to_string(kCallsPerClosedConnection) + " may");
   }
 }
 
--- a/lab/checks/invariant_checker.h
+++ b/lab/checks/invariant_checker.h
@@ -42,11 +42,11 @@
   kFinalAnswerInTime,    ///< a call has a final answer before its deadline
   kRequestSentByClient,  ///< servers receive only requests that clients sent
   kOneAttemptInFlight,   ///< no hedged requests unless the settings allow them
-  kIdempotency,          ///< after an attempt that may have run, retries stay within the limits of the class
+  kIdempotency,  ///< after an attempt that may have been processed, only the retries that its class allows
   kNoAttemptAfterFinalAnswer,  ///< no attempt after the final answer
   kNoAttemptAfterDisconnect,   ///< no attempt after the client disconnected
   kDraining,                   ///< no new attempt to a draining or removed server
-  kOneRequestPerConnection,
+  kOneRequestPerConnection,    ///< a connection to a server carries one request at a time
   kNoCrash,
   kGracefulShutdown
 };
@@ -113,7 +113,7 @@
   /// Records a violation that another part of the lab detected.
   void add_violation(Rule rule, const std::string& text);
 
-  /// Ends the recording: each call that is still pending becomes unanswered.
+  /// Ends the recording: each call that is still pending counts as unanswered.
   void close(double now);
 
   const std::unordered_map<std::string, Call>& calls() const { return calls_; }
--- a/lab/load/http_client.h
+++ b/lab/load/http_client.h
@@ -1,6 +1,6 @@
 /// @file
-/// An HTTP client of one node: one call at a time per keep-alive connection; a new connection is opened when
-/// all are busy.
+/// An HTTP client that calls one node. Each keep-alive connection carries one call at a time; a call opens a
+/// new connection when all are busy.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/lab/load/load_generator.cpp
+++ b/lab/load/load_generator.cpp
@@ -101,8 +101,8 @@
   });
 }
 
-// A request that may have run is not retried by the client unless it is idempotent: the node has already made
-// the retries that its class allows.
+// The client retries a failed request only if it is idempotent, because a server may have processed it; the
+// node has already made the retries that its class allows.
 bool LoadGenerator::may_retry(const NodeUnderTest::Call& call, CallOutcome outcome) const {
   if (outcome == CallOutcome::kRejected) return true;
   return outcome == CallOutcome::kFailed &&
--- a/lab/load/load_generator.h
+++ b/lab/load/load_generator.h
@@ -1,6 +1,6 @@
 /// @file
-/// The load generator of a run: clients outside the fleet. The load is open-loop: calls are sent at their
-/// arrival times, whether or not earlier calls have ended.
+/// The load generator of a run: the clients that call the nodes. The load is open-loop: calls are sent at
+/// their arrival times, whether or not earlier calls have ended.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,7 +17,7 @@
 
 namespace nettleyoke::lab {
 
-/// Sends the calls of one load spec and makes the client retries that are allowed. The constructor draws all
+/// Sends the calls of one load spec and the client retries that the spec allows. The constructor draws all
 /// arrivals from the seed. The load generator owns no connection.
 class LoadGenerator {
  public:
--- a/lab/nodes/admin_call.h
+++ b/lab/nodes/admin_call.h
@@ -1,5 +1,5 @@
 /// @file
-/// One command to a node's admin server.
+/// Sends one command to a node's admin server.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/lab/nodes/hollow_node.h
+++ b/lab/nodes/hollow_node.h
@@ -1,7 +1,7 @@
 /// @file
 /// A hollow node: the settings reader, discovery client, decision library, admin server and metrics of a real
 /// node, without a client listener and without server connections. Many hollow nodes run on one event loop.
-/// The decision library decides about each call, and attempts go directly to the server models. docs/lab.md
+/// The decision library decides about each call; attempts go directly to the server models. docs/lab.md
 /// lists what a hollow node leaves out.
 #pragma once
 
@@ -38,7 +38,7 @@
  public:
   struct Options {
     std::string folder, name, zone;  ///< the configuration file is written to the folder
-    std::size_t number = 0;          ///< in the checker
+    std::size_t number = 0;          ///< its number in the invariant checker
   };
   /// Returns the server with this name, or null.
   using FindServer = std::function<ServerStandIn*(const std::string& name)>;
@@ -75,8 +75,9 @@
     std::size_t class_number = 0;
     // Empty once the final answer was sent or the client disconnected.
     std::function<void(CallOutcome)> on_ended;
-    double attempts_end_at = 0;
-    double time_left = 0;
+    double attempts_end_at = 0;  // s on the lab's clock: no attempt runs past it
+    double time_left = 0;        // s from the start of the call to its deadline
+    // The fallback timer fails the call shortly before its deadline.
     std::unique_ptr<boost::asio::steady_timer> fallback_timer, disconnect_timer;
     std::vector<Attempt> attempts;
     bool is_completed() const { return !on_ended; }
--- a/lab/nodes/node_under_test.h
+++ b/lab/nodes/node_under_test.h
@@ -34,7 +34,7 @@
   virtual ~NodeUnderTest() = default;
 
   virtual const char* kind() const = 0;
-  virtual std::size_t number() const = 0;  ///< in the checker
+  virtual std::size_t number() const = 0;  ///< its number in the invariant checker
   virtual const std::string& zone() const = 0;
 
   /// Starts the node.
@@ -55,7 +55,7 @@
   virtual std::string log() const = 0;
   /// The number of responses that clients received without a request in flight.
   virtual std::size_t unsolicited_responses() const = 0;
-  /// The version of the endpoint list in force; nullopt if the node does not expose it.
+  /// The version of the last endpoint list applied; nullopt if the node does not expose it.
   virtual std::optional<std::uint64_t> list_version() const = 0;
 };
 
--- a/lab/nodes/real_node.cpp
+++ b/lab/nodes/real_node.cpp
@@ -28,7 +28,7 @@
 constexpr int kCannotExecute = 127;  // exit status of a shell that cannot execute a program
 
 constexpr const char* kHealthTarget = "/_health";
-// The text before the addresses in the node's log.
+// The text before each address in the node's log.
 constexpr const char* kListenerLabel = "listening on ";
 constexpr const char* kAdminLabel = "operators at ";
 
@@ -55,7 +55,7 @@
   on_ready_ = std::move(on_ready);
   const pid_t parent = ::getpid();
   pid_ = ::fork();
-  if (pid_ < 0) throw NodeStartError("cannot start a process for node " + options_.name + ": fork failed");
+  if (pid_ < 0) throw NodeStartError("cannot start the process of node " + options_.name + ": fork() failed");
   if (pid_ == 0) {
     // The kernel kills the node when the lab process dies.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -75,7 +75,7 @@
   const rlimit descriptors{options_.descriptors, options_.descriptors};
   ::setrlimit(RLIMIT_NOFILE, &descriptors);
   ::setenv("RELAY_CONFIG", config_file.c_str(), 1);
-  for (const char* other : {"TMPDIR", "RELAY_OPS", "RELAY_LISTEN_FD"}) ::unsetenv(other);
+  for (const char* variable : {"TMPDIR", "RELAY_OPS", "RELAY_LISTEN_FD"}) ::unsetenv(variable);
   ::execl(options_.program.c_str(), options_.program.c_str(), nullptr);
   ::_exit(kCannotExecute);
 }
@@ -187,8 +187,9 @@
   if (response.status != 200) return CallOutcome::kFailed;
   // A server's response starts with the request id.
   if (!response.body.starts_with(call.id)) {
-    checker_.add_violation(Rule::kOneFinalAnswer,
-                           call.id + " has status 200, but the body does not start with its request id");
+    checker_.add_violation(
+        Rule::kOneFinalAnswer,
+        "call " + call.id + " got status 200 with a body that does not start with its request id");
   }
   return CallOutcome::kServed;
 }
--- a/lab/nodes/real_node.h
+++ b/lab/nodes/real_node.h
@@ -1,5 +1,6 @@
 /// @file
-/// A real node: the built program as a child process, started and stopped as DEPLOY specifies.
+/// A real node: the built program as a child process, started and stopped as the deployment specification
+/// (DEPLOY) requires.
 #pragma once
 
 #include <sys/types.h>
@@ -29,7 +30,7 @@
   struct Options {
     std::string program, folder;  ///< the configuration and log files are in the folder
     std::string name, zone;
-    std::size_t number = 0;         ///< in the checker
+    std::size_t number = 0;         ///< its number in the invariant checker
     std::size_t descriptors = 512;  ///< limit of open file descriptors
   };
   RealNode(boost::asio::io_context& io, InvariantChecker& checker, Options options);
--- a/lab/stand_ins/discovery_agent.cpp
+++ b/lab/stand_ins/discovery_agent.cpp
@@ -20,7 +20,7 @@
 using Tcp = asio::ip::tcp;
 
 constexpr double kHeartbeatSeconds = 2;          // interval between the empty lines sent on a watch
-constexpr double kNotificationLimitSeconds = 6;  // a node counts as notified by then in any case
+constexpr double kNotificationLimitSeconds = 6;  // after this a node counts as notified even without a watch
 constexpr std::string_view kVersionParameter = "after=";
 
 }  // namespace
@@ -186,11 +186,11 @@
     missed_ = catalog;
     return;
   }
-  if (catalog.version() <= catalog_.version()) return;  // delayed, and a newer version has been applied
-  const double exclusion_at = clock_.now() + (is_notified_immediately() ? 0 : kNotificationLimitSeconds);
+  if (catalog.version() <= catalog_.version()) return;  // delayed; a newer version is already applied
+  const double must_exclude_from = clock_.now() + (is_notified_immediately() ? 0 : kNotificationLimitSeconds);
   for (const EndpointEntry& entry : catalog.history_after(catalog_.version())) {
     const bool is_usable = entry.status == EndpointStatus::kUp;
-    checker_.server_notified(node_, entry.name, is_usable, is_usable ? clock_.now() : exclusion_at);
+    checker_.server_notified(node_, entry.name, is_usable, is_usable ? clock_.now() : must_exclude_from);
   }
   catalog_ = catalog;
   for (const std::shared_ptr<Connection>& connection : connections_) connection->on_new_version();
--- a/lab/stand_ins/discovery_agent.h
+++ b/lab/stand_ins/discovery_agent.h
@@ -1,5 +1,6 @@
 /// @file
-/// Stand-in for the discovery agent of one node, as PROTOCOL specifies: full lists and watches on loopback.
+/// Stand-in for the discovery agent of one node, as the protocol specification (PROTOCOL)
+/// requires: it serves full lists and watches on loopback.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,8 +24,9 @@
 class DiscoveryAgent {
  public:
   struct Counters {
-    std::size_t calls = 0, full_lists = 0;
-    std::size_t changes = 0;  ///< sent over watches
+    std::size_t calls = 0;       ///< requests received
+    std::size_t full_lists = 0;  ///< sent
+    std::size_t changes = 0;     ///< sent over watches
     std::size_t bytes_in = 0, bytes_out = 0;
   };
   /// When a node counts as notified of a change.
@@ -33,7 +35,7 @@
     kWhileWatching  ///< immediately only while the node has an open watch
   };
 
-  /// @param node its number in the checker
+  /// @param node the number of the node in the invariant checker
   DiscoveryAgent(boost::asio::io_context& io, const node::Clock& clock, InvariantChecker& checker,
                  std::size_t node, Notification notification);
   ~DiscoveryAgent();
@@ -44,8 +46,9 @@
   const Counters& counters() const { return counters_; }
   std::uint64_t version() const { return catalog_.version(); }
 
-  /// Publishes a list version to the agent, after the set delay. While the agent is partitioned or discovery
-  /// is down, the agent does not apply it; the last version is applied when that ends.
+  /// Publishes a list version to the agent, after the delay from set_delay(). While the agent is partitioned
+  /// or discovery is down, the agent does not apply the version; it applies the last one when both have
+  /// ended.
   void publish(const EndpointCatalog& catalog);
   /// Sets whether discovery is down: the agent then accepts connections but sends no response.
   void set_down(bool is_down);
--- a/lab/stand_ins/endpoint_catalog.h
+++ b/lab/stand_ins/endpoint_catalog.h
@@ -16,7 +16,7 @@
 struct EndpointEntry {
   std::string name, address, zone;
   EndpointStatus status = EndpointStatus::kUp;
-  std::int64_t since_ms = 0;  ///< Unix time of the server's start in ms; 0: unknown, long ago
+  std::int64_t since_ms = 0;  ///< Unix time of the server's start in ms; 0: unknown, counts as long ago
 };
 
 /// Each change creates a new version, starting at 1; version 0 is the empty list.
--- a/lab/stand_ins/server_connection.cpp
+++ b/lab/stand_ins/server_connection.cpp
@@ -15,7 +15,7 @@
 using node::cancel_timer;
 using node::Clock;
 
-constexpr const char* kReason = "X";  // nodes don't read it
+constexpr const char* kReason = "X";  // the reason phrase of responses; nodes ignore it
 constexpr const char* kNotProcessed = "X-Not-Processed: 1\r\n";
 
 CallOutcome call_outcome(const HttpClient::Response& response) {
@@ -33,7 +33,7 @@
   return CallOutcome::kFailed;
 }
 
-// The timeout in the request's X-Timeout-Ms header, in s; `default_timeout` without a valid header.
+// The timeout in the request's X-Timeout-Ms header, in s; `default_timeout` if there is no valid one.
 double stated_timeout(const http::fields& fields, double default_timeout) {
   const std::string text = net::header_value(fields, "X-Timeout-Ms");
   int milliseconds = 0;
@@ -103,8 +103,9 @@
   cancel_timer(idle_timer_);
   InvariantChecker& checker = owner_->checker_;
   if (is_processing_) {
-    return checker.add_violation(Rule::kOneRequestPerConnection,
-                                 "two requests in flight on one connection to " + owner_->name_);
+    return checker.add_violation(
+        Rule::kOneRequestPerConnection,
+        "a connection to server " + owner_->name_ + " has two requests in flight; it must have at most one");
   }
   request_id_ = net::header_value(request, "X-Request-ID");
   if (request_id_.empty()) return write(net::response_text(404, kReason, ""));
--- a/lab/stand_ins/server_connection.h
+++ b/lab/stand_ins/server_connection.h
@@ -14,8 +14,8 @@
 
 namespace nettleyoke::lab {
 
-/// Always has a read pending, also while a request is processed, so that it detects immediately that the node
-/// closed.
+/// Always has a read pending, also while a request is processed, so that it detects at once that the node
+/// closed the connection.
 class ServerStandIn::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(ServerStandIn& owner, boost::asio::ip::tcp::socket socket);
--- a/lab/stand_ins/server_model.h
+++ b/lab/stand_ins/server_model.h
@@ -80,7 +80,7 @@
   JobId last_job_id_ = 0;
   bool is_hanging_ = false, is_failing_ = false;
   double speed_ = 1, work_done_ = 0;
-  double slow_start_since_ = -1;  // s on the lab's clock; below 0: never restarted
+  double slow_start_since_ = -1;  // s on the lab's clock; below 0: not restarted yet, no slow start
 };
 
 }  // namespace nettleyoke::lab
--- a/lab/stand_ins/server_stand_in.h
+++ b/lab/stand_ins/server_stand_in.h
@@ -1,6 +1,7 @@
 /// @file
-/// A server on loopback, as PROTOCOL specifies: a ServerModel over HTTP with keep-alive connections. If there
-/// is a next tier, the server calls it through its own node before it responds.
+/// A server on loopback, as the protocol specification (PROTOCOL) requires: a ServerModel over HTTP with
+/// keep-alive connections. If there is a next tier, the server calls it through its own node before it
+/// responds.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -30,7 +31,7 @@
   /// The client and node through which this server calls the next tier, if there is one.
   struct NextTier {
     HttpClient* client = nullptr;
-    std::size_t node = 0;  ///< the number of this server's own node in the checker
+    std::size_t node = 0;  ///< the number of this server's own node in the invariant checker
   };
   /// Whether this server is partitioned from a node: their messages are lost.
   using IsPartitioned = std::function<bool(std::size_t node)>;
@@ -45,7 +46,7 @@
 
   bool is_up() const { return listener_.is_open(); }
   std::string address() const;                    ///< changes with each start()
-  std::size_t number() const { return number_; }  ///< in the checker
+  std::size_t number() const { return number_; }  ///< its number in the invariant checker
   const std::string& name() const { return name_; }
   ServerModel& model() { return model_; }
   std::size_t connections_accepted() const { return connections_accepted_; }
@@ -62,7 +63,7 @@
 
   /// Crashes the process: open connections are reset and new ones refused.
   void crash();
-  /// Starts a new process on a new address, after a crash() if it is up.
+  /// Starts a new process on a new address. If the server is up, it crashes first.
   void start();
 
  private:
