--- a/lab/stand_ins/server_connection.cpp
+++ b/lab/stand_ins/server_connection.cpp
@@ -105,7 +105,7 @@
   if (is_processing_) {
     return checker.add_violation(
         Rule::kOneRequestPerConnection,
-        "a connection to server " + owner_->name_ + " has two requests in flight; it must have at most one");
+        "a connection must carry one request at a time, but a second one arrived at server " + owner_->name_);
   }
   request_id_ = net::header_value(request, "X-Request-ID");
   if (request_id_.empty()) return write(net::response_text(404, kReason, ""));
