--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -39,7 +39,7 @@
     EXPECT_EQ(deployment.program->admin_command(line).substr(0, 3), "NO ") << line.substr(0, 20);
   }
   EXPECT_EQ(deployment.program->admin_command("DISABLE s0\r"), "YES\n") << "a line may end in CR LF";
-  EXPECT_EQ(deployment.answer_to({.id = "after"}).substr(9, 3), "503");
+  EXPECT_EQ(deployment.response_to({.id = "after"}).substr(9, 3), "503");
 }
 
 TEST(AdminServer, TruncatedCommandIsRejectedAndSilentConnectionIsClosed) {
@@ -55,7 +55,7 @@
       << "a command without a line end must not be executed";
   EXPECT_EQ(truncated.read_to_end().substr(0, 3), "NO ");
   EXPECT_EQ(silent.read_to_end(), "");
-  EXPECT_EQ(deployment.answer_to({.id = "after"}).substr(9, 3), "200");
+  EXPECT_EQ(deployment.response_to({.id = "after"}).substr(9, 3), "200");
 }
 
 // The admin server must stay reachable when all descriptors are in use, both by clients and by silent
@@ -169,23 +169,23 @@
   deployment.discovery.send_list(
       endpoint_list(8, true, endpoint("s0", one.address()) + "," + endpoint("s1", two.address())));
   for (int i = 0; i < 20; ++i)
-    EXPECT_EQ(body_of(deployment.answer_to({.id = "out" + std::to_string(i)})), "two");
+    EXPECT_EQ(body_of(deployment.response_to({.id = "out" + std::to_string(i)})), "two");
   EXPECT_EQ(one.requests().size(), requests_before);
   EXPECT_EQ(metric(*deployment.program, "hosts_listed"), 2);
   EXPECT_EQ(metric(*deployment.program, "hosts_down"), 1);
   EXPECT_EQ(deployment.program->admin_command("DISABLE s1"), "YES\n");
-  const std::string rejected = deployment.answer_to({.id = "none"});
+  const std::string rejected = deployment.response_to({.id = "none"});
   EXPECT_EQ(status_of(rejected), 503);
   EXPECT_NE(field_of(rejected, "Retry-After"), "");
   EXPECT_EQ(deployment.program->admin_command("ENABLE s0"), "YES\n");
   EXPECT_EQ(metric(*deployment.program, "hosts_down"), 1);
-  EXPECT_EQ(body_of(deployment.answer_to({.id = "back"})), "one");
+  EXPECT_EQ(body_of(deployment.response_to({.id = "back"})), "one");
 }
 
 // A server may be restarted while it is disabled, so its old connections must not be reused.
 TEST(DisabledServer, IdleConnectionsAreClosed) {
   OneServerDeployment deployment(always_reply(200, "ok"), with_admin_server());
-  EXPECT_EQ(body_of(deployment.answer_to({.id = "r1"})), "ok");
+  EXPECT_EQ(body_of(deployment.response_to({.id = "r1"})), "ok");
   EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
   EXPECT_TRUE(eventually([&] { return deployment.server.closed_by_node() == 1; }));
 }
--- a/tests/node/attempt_outcome_test.cpp
+++ b/tests/node/attempt_outcome_test.cpp
@@ -14,9 +14,9 @@
   FakeServer server(always_reply(503, "", "X-Not-Processed: 1\r\n"));
   Deployment deployment({&server});
   Connection client = deployment.client();
-  const std::string answer = exchange(client, {});
-  EXPECT_EQ(status_of(answer), 503);
-  EXPECT_FALSE(field_of(answer, "Retry-After").empty());
+  const std::string response = exchange(client, {});
+  EXPECT_EQ(status_of(response), 503);
+  EXPECT_FALSE(field_of(response, "Retry-After").empty());
   EXPECT_EQ(server.requests().size(), 3U) << "the settings allow three attempts";
 }
 
@@ -24,8 +24,8 @@
 void expect_failure_without_retry(const FakeServer::Reply& reply) {
   OneServerDeployment deployment(reply);
   Connection client = deployment.client();
-  const std::string answer = exchange(client, {});
-  EXPECT_EQ(status_of(answer), 502) << answer;
+  const std::string response = exchange(client, {});
+  EXPECT_EQ(status_of(response), 502) << response;
   EXPECT_EQ(deployment.server.requests().size(), 1U)
       << "a non-idempotent request that may have been processed must not be retried";
   EXPECT_TRUE(deployment.program->is_running());
@@ -51,7 +51,7 @@
 
 TEST(AttemptOutcome, ResetWithoutResponseFailsWithoutRetry) {
   expect_failure_without_retry([](Connection& connection, const std::string&) {
-    connection.close_with_reset();
+    connection.send_reset_on_close();
     return false;
   });
 }
@@ -101,7 +101,7 @@
   Connection client = deployment.client();
   const auto start = std::chrono::steady_clock::now();
   EXPECT_EQ(status_of(exchange(client, {})), 502);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "must end before the client timeout of 15 s";
   EXPECT_TRUE(eventually([&] { return !connection_open; }));
 }
 
@@ -143,9 +143,9 @@
     return false;
   });
   Connection client = deployment.client();
-  const std::string answer = exchange(client, {.request_class = "look", .method = "GET", .body = ""});
-  EXPECT_EQ(status_of(answer), 200);
-  EXPECT_EQ(body_of(answer), "complete");
+  const std::string response = exchange(client, {.request_class = "look", .method = "GET", .body = ""});
+  EXPECT_EQ(status_of(response), 200);
+  EXPECT_EQ(body_of(response), "complete");
   EXPECT_TRUE(eventually([&] { return deployment.program->count_in_log("s0 reset after") == 1; }))
       << deployment.program->log();
 }
--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -256,9 +256,9 @@
   const std::size_t idle = limit.rlim_max >= 1200 ? 1000 : 300;
   constexpr std::size_t busy = 6;
   Gate gate;
-  // Three servers for six requests: the node has capacity for two requests in flight at a server that has not
-  // answered yet. It allows more at first, but that allowance fades within seconds, and the idle clients may
-  // take longer than that to connect.
+  // Three servers for six requests: the node allows two requests in flight at a server that has not responded
+  // yet. It allows more at first, but this higher limit decays within seconds, and the idle clients may take
+  // longer than that to connect.
   std::array<FakeServer, busy / 2> servers{FakeServer(reply_after(gate)), FakeServer(reply_after(gate)),
                                            FakeServer(reply_after(gate))};
   const auto forwarded = [&servers] {
--- a/tests/node/connection_admission_test.cpp
+++ b/tests/node/connection_admission_test.cpp
@@ -71,9 +71,9 @@
   const DescriptorExhaustion exhaustion(program);
   for (const char* id : {"rejected1", "rejected2"}) {
     Connection client = Connection::to(program.port());
-    const std::string answer = exchange(client, get_request(id));
-    EXPECT_EQ(status_of(answer), 503) << id;
-    EXPECT_EQ(field_of(answer, "Connection"), "close");
+    const std::string response = exchange(client, get_request(id));
+    EXPECT_EQ(status_of(response), 503) << id;
+    EXPECT_EQ(field_of(response, "Connection"), "close");
     EXPECT_EQ(client.read_to_end(), "");
   }
   gate.open();
@@ -123,10 +123,10 @@
   int count = 0;
   const auto body_of_next = [&] {
     Connection client = Connection::to(program.port());
-    const std::string answer = exchange(client, get_request("r" + std::to_string(++count)));
-    EXPECT_EQ(status_of(answer), 200) << count;
+    const std::string response = exchange(client, get_request("r" + std::to_string(++count)));
+    EXPECT_EQ(status_of(response), 200) << count;
     idle.push_back(std::move(client));
-    return body_of(answer);
+    return body_of(response);
   };
   for (int i = 0; i < 30; ++i) {
     EXPECT_EQ(body_of_next(), "one");
@@ -178,9 +178,9 @@
     Connection late = deployment.client();
     return status_of(exchange(late, get_request("late" + std::to_string(++count)))) == 200;
   }));
-  const std::string answer = slow.front().read_message();
-  EXPECT_EQ(status_of(answer), 503);
-  EXPECT_EQ(field_of(answer, "Connection"), "close");
+  const std::string response = slow.front().read_message();
+  EXPECT_EQ(status_of(response), 503);
+  EXPECT_EQ(field_of(response, "Connection"), "close");
 }
 
 TEST(ConnectionAdmission, ServesAgainAfterRunningOutOfDescriptors) {
--- a/tests/node/connection_shutdown_race_test.cpp
+++ b/tests/node/connection_shutdown_race_test.cpp
@@ -65,7 +65,7 @@
     received += piece.size();
   }
   EXPECT_EQ(status_of(client.read_message()), 502);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "must end before the client timeout of 15 s";
   EXPECT_EQ(node.program->exit_status(), 0);
 }
 
@@ -131,7 +131,8 @@
   response.gate.open();
   response.received += response.client.read_to_end();
   EXPECT_EQ(body_of(response.received).size(), kMebibyte);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 7s) << "an idle connection may stay open for 10 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 7s)
+      << "must end before the 10 s for which an idle connection may stay open";
   EXPECT_EQ(response.deployment->program->exit_status(), 0);
 }
 
--- a/tests/node/discovery_watch_test.cpp
+++ b/tests/node/discovery_watch_test.cpp
@@ -159,7 +159,8 @@
   const auto start = std::chrono::steady_clock::now();
   NodeProcess program(config.text());
   EXPECT_TRUE(eventually_answers(program.port(), "notified", get_request("")));
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 8s) << "three timeouts of an open watch take 9 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 8s)
+      << "must be shorter than three timeouts of an open watch, which take 9 s";
 }
 
 }  // namespace
--- a/tests/node/dispatch_test.cpp
+++ b/tests/node/dispatch_test.cpp
@@ -136,6 +136,7 @@
 
 struct Membership : testing::Test, MembershipTracker::Observer {
   MembershipTracker tracker;
+  // One entry per call: +NAME for a usable server, -NAME for an unusable one, xNAME for a removed one.
   std::string calls;
 
   void on_server_listed(const Endpoint& endpoint, bool usable) override {
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -24,8 +24,8 @@
   EXPECT_TRUE(deployment.program->is_running()) << "two requests have no final answer yet";
   gate.open();
   for (Connection* client : {&in_flight, &late}) {
-    const std::string answer = client->read_message();
-    EXPECT_EQ(status_of(answer), 200);
+    const std::string response = client->read_message();
+    EXPECT_EQ(status_of(response), 200);
   }
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
@@ -48,10 +48,10 @@
     EXPECT_EQ(status_of(exchange(client, {.id = "during" + std::to_string(i)})), 200);
   }
   silent = true;
-  const std::string answer = exchange(other, {.id = "unanswered", .timeout_ms = "15000"});
-  EXPECT_EQ(status_of(answer), 502) << answer;
+  const std::string response = exchange(other, {.id = "unanswered", .timeout_ms = "15000"});
+  EXPECT_EQ(status_of(response), 502) << response;
   EXPECT_EQ(deployment.program->exit_status(), 0);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "must end before the client timeout of 15 s";
 }
 
 // Once the node accepts no more connections, a client that finds no free connection even once stops using the
@@ -84,7 +84,8 @@
   const auto start = std::chrono::steady_clock::now();
   deployment.program->signal(SIGTERM);
   EXPECT_EQ(client.read_to_end(), "");
-  EXPECT_GT(std::chrono::steady_clock::now() - start, 2700ms) << "the process may be killed after 3.7 s";
+  EXPECT_GT(std::chrono::steady_clock::now() - start, 2700ms)
+      << "idle connections must stay open for most of the 3.7 s before the process may be killed";
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
@@ -142,7 +143,7 @@
   deployment.program->signal(SIGTERM);
   const auto start = std::chrono::steady_clock::now();
   EXPECT_EQ(status_of(client.read_message()), 502);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client timeout is 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "must end before the client timeout of 15 s";
   EXPECT_EQ(deployment.program->exit_status(), 0);
 }
 
--- a/tests/node/harness/connection.h
+++ b/tests/node/harness/connection.h
@@ -34,11 +34,11 @@
 
   /// Closes the connection with an RST instead of a FIN.
   void reset() {
-    close_with_reset();
+    send_reset_on_close();
     socket_.reset();
   }
   /// Makes a later close() send an RST instead of a FIN.
-  void close_with_reset() const {
+  void send_reset_on_close() const {
     const linger no_linger{1, 0};
     ::setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &no_linger, sizeof no_linger);
   }
--- a/tests/node/harness/deployment.cpp
+++ b/tests/node/harness/deployment.cpp
@@ -34,12 +34,13 @@
 }  // namespace
 
 bool eventually_answers(int port, const std::string& body, const RequestBuilder& request) {
-  return eventually_gets(port, request, [&](const std::string& answer) { return body_of(answer) == body; });
+  return eventually_gets(port, request,
+                         [&](const std::string& response) { return body_of(response) == body; });
 }
 
 bool Deployment::eventually_answers_with_status(int status) const {
   return eventually_gets(program->port(), {},
-                         [&](const std::string& answer) { return status_of(answer) == status; });
+                         [&](const std::string& response) { return status_of(response) == status; });
 }
 
 Deployment::Deployment(const std::vector<FakeServer*>& servers, NodeConfig node_config,
@@ -54,7 +55,7 @@
   program = std::make_unique<NodeProcess>(config.text(), options);
 }
 
-std::string Deployment::answer_to(const RequestBuilder& request) const {
+std::string Deployment::response_to(const RequestBuilder& request) const {
   Connection connection = client();
   return exchange(connection, request);
 }
--- a/tests/node/harness/deployment.h
+++ b/tests/node/harness/deployment.h
@@ -28,8 +28,8 @@
 /// @return the request id; empty if the connection ends instead
 std::string read_request_id(Connection& server);
 
-/// Sends requests until one is answered with `body`. Each has a new connection and a new id.
-/// @return whether one was answered so within kWaitLimit
+/// Sends requests until a response has the body `body`. Each request has a new connection and a new id.
+/// @return whether such a response arrived within kWaitLimit
 bool eventually_answers(int port, const std::string& body, const RequestBuilder& request = {});
 
 /// A node whose initial endpoint list contains the servers s0, s1 ..., and a discovery agent that sends no
@@ -41,9 +41,9 @@
 
   Connection client() const { return Connection::to(program->port()); }
   /// Sends a request on a new connection.
-  /// @return the response
-  std::string answer_to(const RequestBuilder& request) const;
-  int status_for(const RequestBuilder& request) const { return status_of(answer_to(request)); }
+  /// @return the response; empty if the connection ends instead
+  std::string response_to(const RequestBuilder& request) const;
+  int status_for(const RequestBuilder& request) const { return status_of(response_to(request)); }
   bool eventually_answers(const std::string& body) const {
     return node::eventually_answers(program->port(), body);
   }
@@ -61,7 +61,7 @@
   FakeServer server;
 };
 
-/// A node in front of one server. By default the server answers every request with 200 and "ok".
+/// A node in front of one server. By default the server responds to every request with 200 and "ok".
 class OneServerDeployment : public ServerOfDeployment, public Deployment {
  public:
   explicit OneServerDeployment(FakeServer::Reply reply = always_reply(200, "ok"), NodeConfig node_config = {},
--- a/tests/node/harness/fake_discovery.h
+++ b/tests/node/harness/fake_discovery.h
@@ -35,8 +35,8 @@
   return kChunkedResponseHead + http_chunk(list + "\n");
 }
 
-/// Answers each watch with a header and an empty line, or with the bytes passed to respond_with(), and keeps
-/// it open. Watch events are sent on the latest watch, always after its header.
+/// Responds to each watch with a header and an empty line, or with the bytes passed to respond_with(), and
+/// keeps the watch open. Watch events are sent on the latest watch, always after its header.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(int port = 0)
@@ -44,7 +44,7 @@
   std::string address() const { return listener_.address(); }
   Listener& listener() { return listener_; }
 
-  /// Sets the bytes, header included, with which later watches are answered.
+  /// Sets the response to later watches: its bytes, including the header.
   void respond_with(const std::string& bytes) {
     const std::lock_guard lock(mutex_);
     response_ = bytes;
@@ -54,7 +54,7 @@
   bool send_raw(const std::string& bytes) {
     return eventually([&] {
       const std::lock_guard lock(mutex_);
-      return current_ != nullptr && current_->write(bytes);
+      return latest_watch_ != nullptr && latest_watch_->write(bytes);
     });
   }
   /// Waits for an open watch and sends a list on it.
@@ -62,9 +62,9 @@
   bool send_list(const std::string& list) { return send_raw(http_chunk(list + "\n")); }
   void end_watch() {
     const std::lock_guard lock(mutex_);
-    if (current_ != nullptr) ::shutdown(current_->fd(), SHUT_RDWR);
+    if (latest_watch_ != nullptr) ::shutdown(latest_watch_->fd(), SHUT_RDWR);
   }
-  /// @return all calls received so far
+  /// @return the HTTP requests received so far; each opens a watch
   std::vector<std::string> calls() {
     const std::lock_guard lock(mutex_);
     return calls_;
@@ -80,17 +80,17 @@
       const std::lock_guard lock(mutex_);
       calls_.push_back(call);
       connection.write(response_.empty() ? kChunkedResponseHead + http_chunk("\n") : response_);
-      current_ = &connection;
+      latest_watch_ = &connection;
     }
     connection.read_to_end();
     const std::lock_guard lock(mutex_);
-    if (current_ == &connection) current_ = nullptr;
+    if (latest_watch_ == &connection) latest_watch_ = nullptr;
   }
 
   std::mutex mutex_;
   std::string response_;
   std::vector<std::string> calls_;
-  Connection* current_ = nullptr;
+  Connection* latest_watch_ = nullptr;
   Listener listener_;
 };
 
--- a/tests/node/harness/fake_server.h
+++ b/tests/node/harness/fake_server.h
@@ -35,7 +35,7 @@
   bool open_ = false;
 };
 
-/// Records each request and calls `reply` to answer it.
+/// Records each request and calls `reply` to write the response.
 class FakeServer {
  public:
   /// Writes the response to a request; returns false to end the connection.
@@ -77,14 +77,14 @@
   Listener listener_;
 };
 
-/// Answers every request with the same response.
+/// Writes the same response to every request.
 inline FakeServer::Reply always_reply(int status, const std::string& body, const std::string& fields = "") {
   return [=](Connection& connection, const std::string&) {
     return connection.write(http_response(status, body, fields));
   };
 }
 
-/// Waits for the gate to open, then answers every request with the same response.
+/// Waits for the gate to open, then writes the same response to every request.
 inline FakeServer::Reply reply_after(Gate& gate, int status = 200, const std::string& body = "ok",
                                      const std::string& fields = "") {
   return [=, &gate](Connection& connection, const std::string&) {
@@ -93,7 +93,7 @@
   };
 }
 
-/// Never answers, and keeps the connection open.
+/// Writes no response and keeps the connection open.
 inline FakeServer::Reply never_reply() {
   return [](Connection&, const std::string&) { return true; };
 }
--- a/tests/node/harness/listener.cpp
+++ b/tests/node/harness/listener.cpp
@@ -19,28 +19,28 @@
   ::setsockopt(listener_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   port_ = listen_on_loopback(listener_, port, kBacklog);
   EXPECT_GT(port_, 0) << "can't listen on port " << port;
-  thread_ = std::thread([this] { run(); });
+  accept_thread_ = std::thread([this] { accept_connections(); });
 }
 
 void Listener::stop() {
-  if (!thread_.joinable()) return;
+  if (!accept_thread_.joinable()) return;
   stopping_ = true;
-  thread_.join();
+  accept_thread_.join();
   listener_.reset();
   {
     const std::lock_guard lock(mutex_);
-    for (const int fd : open_) ::shutdown(fd, SHUT_RDWR);
+    for (const int fd : open_descriptors_) ::shutdown(fd, SHUT_RDWR);
   }
-  for (std::thread& thread : serving_) thread.join();
-  serving_.clear();
+  for (std::thread& thread : serving_threads_) thread.join();
+  serving_threads_.clear();
 }
 
 int Listener::open_connections() {
   const std::lock_guard lock(mutex_);
-  return static_cast<int>(open_.size());
+  return static_cast<int>(open_descriptors_.size());
 }
 
-void Listener::run() {
+void Listener::accept_connections() {
   while (!stopping_) {
     pollfd readable{listener_.get(), POLLIN, 0};
     if (::poll(&readable, 1, kStopPollMilliseconds) <= 0) continue;
@@ -55,12 +55,12 @@
   const int fd = connection->fd();
   {
     const std::lock_guard lock(mutex_);
-    open_.push_back(fd);
+    open_descriptors_.push_back(fd);
   }
-  serving_.emplace_back([this, connection, fd] {
+  serving_threads_.emplace_back([this, connection, fd] {
     serve_(*connection);
     const std::lock_guard lock(mutex_);
-    std::erase(open_, fd);
+    std::erase(open_descriptors_, fd);
     connection->close();
   });
 }
--- a/tests/node/harness/listener.h
+++ b/tests/node/harness/listener.h
@@ -32,7 +32,7 @@
   int open_connections();
 
  private:
-  void run();
+  void accept_connections();
   void start_serving(FileDescriptor socket);
 
   std::function<void(Connection&)> serve_;
@@ -41,9 +41,9 @@
   std::atomic<int> accepted_ = 0;
   std::atomic<bool> stopping_ = false;
   std::mutex mutex_;
-  std::vector<int> open_;
-  std::vector<std::thread> serving_;
-  std::thread thread_;
+  std::vector<int> open_descriptors_;
+  std::vector<std::thread> serving_threads_;
+  std::thread accept_thread_;
 };
 
 /// @return a free port without a listener: a connect to it is refused
--- a/tests/node/harness/scripted_discovery.h
+++ b/tests/node/harness/scripted_discovery.h
@@ -19,13 +19,14 @@
   kReset,              ///< closes the connection with an RST
   kSilence,            ///< sends nothing
   kHead,               ///< sends a response header, then nothing
-  kHalfList,           ///< sends half of the list, then nothing
+  kIncompleteList,     ///< sends the first half of the list, then nothing
   kTrickle,            ///< sends the list one byte every 0.2 s, too slowly to complete in time
   kOneEmptyLine,       ///< sends one empty line, then nothing
   kEndlessEmptyLines,  ///< sends empty lines until the node ends the call
 };
 
-/// Performs one step of the script per call. Answers each later call with the list and keeps it open.
+/// Performs one step of the script per call. Sends the list in response to each later call and keeps that
+/// call open.
 class ScriptedDiscovery {
  public:
   using Clock = std::chrono::steady_clock;
@@ -40,8 +41,8 @@
     const std::lock_guard lock(mutex_);
     return call_times_.size();
   }
-  /// Waits for the first call that is answered with the list.
-  /// @param start  none: the first call
+  /// Waits for the first call after the script, whose response is the list.
+  /// @param start  the time to measure from; none: the first call
   /// @return the seconds from `start` to that call; 1e9 if there is none within kWaitLimit
   double seconds_to_list(std::optional<Clock::time_point> start = std::nullopt) {
     if (!eventually([this] { return calls() > script_.size(); })) return 1e9;
@@ -72,7 +73,8 @@
   void perform(DiscoveryStep step, Connection& connection) {
     if (step == DiscoveryStep::kSilence) return;
     connection.write(kChunkedResponseHead);
-    if (step == DiscoveryStep::kHalfList) connection.write(http_chunk(list_.substr(0, list_.size() / 2)));
+    if (step == DiscoveryStep::kIncompleteList)
+      connection.write(http_chunk(list_.substr(0, list_.size() / 2)));
     if (step == DiscoveryStep::kOneEmptyLine) connection.write(http_chunk("\n"));
     if (step == DiscoveryStep::kTrickle) trickle(connection);
     if (step == DiscoveryStep::kEndlessEmptyLines) {
--- a/tests/node/large_request_test.cpp
+++ b/tests/node/large_request_test.cpp
@@ -218,9 +218,10 @@
     int rejected = 0;
     int timed_out = 0;
     for (Connection& client : clients) {
-      const std::string answer = client.read_message();
-      if (!answer.empty() && status_of(answer) == 503 && !field_of(answer, "Retry-After").empty()) ++rejected;
-      if (!answer.empty() && status_of(answer) == 408) ++timed_out;
+      const std::string response = client.read_message();
+      if (!response.empty() && status_of(response) == 503 && !field_of(response, "Retry-After").empty())
+        ++rejected;
+      if (!response.empty() && status_of(response) == 408) ++timed_out;
     }
     EXPECT_GE(rejected, kClients / 4);
     EXPECT_GT(timed_out, 0) << "bodies that fit into the memory were read";
--- a/tests/node/lifecycle_race_test.cpp
+++ b/tests/node/lifecycle_race_test.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// Races between the end of a client connection, a connect or a time window and an event that comes at the
 /// same moment; docs/lifecycle-races.md lists them. Each test forces its race by the order in which client,
-/// server and discovery act. If two actions must reach the node in one turn of its event loop, the node is
-/// suspended while they happen; after it resumes it finds both, in the order in which they happened.
+/// server and discovery act. If two actions must reach the node in one iteration of its event loop, the node
+/// is suspended while they happen; after it resumes it finds both, in the order in which they happened.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -44,8 +44,8 @@
   expect_next_request(deployment, server);
 }
 
-// The attempt must end in the same turn of the event loop in which it is cancelled: otherwise a connection
-// that is established one turn later would still send the request.
+// The attempt must end in the same iteration of the event loop in which it is cancelled: otherwise a
+// connection that is established one iteration later would still send the request.
 TEST_P(ClientDisconnect, JustBeforeAConnectCompletesDropsTheRequest) {
   HeldServerDeployment deployment(true);
   deployment.server.fill_queue();
--- a/tests/node/misbehaving_client_test.cpp
+++ b/tests/node/misbehaving_client_test.cpp
@@ -15,7 +15,7 @@
   const auto start = std::chrono::steady_clock::now();
   Connection client = deployment.client();
   EXPECT_EQ(client.read_to_end(), "");
-  EXPECT_LT(seconds_since(start), 10) << "the limit is 3 s; it was once 15 s";
+  EXPECT_LT(seconds_since(start), 10) << "the node must close it after 3 s; it once took 15 s";
 }
 
 // The timeout must start when the connection is accepted, not at the first byte, and must not restart at each
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -126,8 +126,8 @@
   ASSERT_TRUE(eventually([&] { return deployment.program->count_in_log("reload: ") == 1; }));
   client.write(RequestBuilder{}.text());
   other.write(RequestBuilder{.id = "r2", .method = "GET", .body = ""}.text());
-  EXPECT_EQ(status_of(client.read_message()), 200) << "non-idempotent under the previous settings";
-  EXPECT_EQ(status_of(other.read_message()), 200) << "idempotent under the new settings";
+  EXPECT_EQ(status_of(client.read_message()), 200) << "POST must stay valid: the class was non-idempotent";
+  EXPECT_EQ(status_of(other.read_message()), 200) << "GET must be valid: the class is idempotent now";
 }
 
 TEST(SettingsReload, RequestInFlightKeepsItsAttemptLimit) {
--- a/tests/node/startup_test.cpp
+++ b/tests/node/startup_test.cpp
@@ -42,7 +42,7 @@
   const char* name;
   const char* registry_mode;
   std::vector<Step> discovery_steps = {};
-  bool has_outdated_initial_list = false;  // of one server, which no longer exists; else no list
+  bool has_outdated_initial_list = false;  // its one server is unreachable; false: no list
 };
 // NOLINTNEXTLINE(readability-identifier-naming): GoogleTest calls the function by this name
 void PrintTo(const StartupScenario& scenario, std::ostream* out) { *out << scenario.name; }
@@ -98,7 +98,7 @@
         StartupScenario{"DiscoverySilentAndNoList", "automatic", std::vector<Step>(4, Step::kSilence)},
         StartupScenario{
             "DiscoverySilentAndNoListInSubscribeMode", "subscribe", {Step::kSilence, Step::kSilence}},
-        StartupScenario{"HalfListsAndNoList", "automatic", std::vector<Step>(4, Step::kHalfList)},
+        StartupScenario{"HalfListsAndNoList", "automatic", std::vector<Step>(4, Step::kIncompleteList)},
         StartupScenario{"EmptyLinesAndNoList", "automatic", {Step::kEndlessEmptyLines}}),
     [](const auto& scenario) { return std::string(scenario.param.name); });
 
--- a/tests/node/takeover_test.cpp
+++ b/tests/node/takeover_test.cpp
@@ -61,12 +61,12 @@
   EXPECT_EQ(status_of(last), 200);
   EXPECT_EQ(field_of(last, "Connection"), "close");
   for (int i = 0; i < 20; ++i)
-    EXPECT_EQ(status_of(old_node.answer_to({.id = "new" + std::to_string(i)})), 200);
+    EXPECT_EQ(status_of(old_node.response_to({.id = "new" + std::to_string(i)})), 200);
   EXPECT_GE(count_by_class(new_node, "success", "close"), 20);
   gate.open();
   EXPECT_EQ(status_of(busy.read_message()), 200);
   EXPECT_EQ(old_node.program->exit_status(), 0);
-  EXPECT_EQ(status_of(old_node.answer_to({.id = "after"})), 200)
+  EXPECT_EQ(status_of(old_node.response_to({.id = "after"})), 200)
       << "the listening socket must outlive the old process";
 }
 
@@ -84,7 +84,7 @@
   EXPECT_TRUE(eventually([&] { return metric(new_node, "hosts_down") == 1; }));
   old_node.program->signal(SIGTERM);
   EXPECT_EQ(old_node.program->exit_status(), 0);
-  EXPECT_EQ(body_of(old_node.answer_to({.id = "left"})), "one");
+  EXPECT_EQ(body_of(old_node.response_to({.id = "left"})), "one");
 }
 
 TEST(Takeover, MalformedFileOfDisabledServersIsIgnored) {
@@ -94,7 +94,7 @@
     std::ofstream(platform.disabled_servers_path()) << text;
     Deployment deployment({&server}, with_admin_server(), platform.start_options());
     EXPECT_EQ(deployment.program->count_in_log("file ignored"), 1) << text;
-    EXPECT_EQ(status_of(deployment.answer_to({.id = "r"})), 200);
+    EXPECT_EQ(status_of(deployment.response_to({.id = "r"})), 200);
     EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
   }
 }
@@ -103,7 +103,7 @@
   FakeServer server(always_reply(200, "ok"));
   Deployment deployment({&server}, with_admin_server(), {.environment = {{"TMPDIR", "/nowhere/at/all"}}});
   EXPECT_EQ(deployment.program->admin_command("DISABLE s0"), "YES\n");
-  EXPECT_EQ(status_of(deployment.answer_to({.id = "r"})), 503);
+  EXPECT_EQ(status_of(deployment.response_to({.id = "r"})), 503);
   EXPECT_EQ(deployment.program->count_in_log("cannot write"), 1);
 }
 
--- a/tests/node/watch_notification_test.cpp
+++ b/tests/node/watch_notification_test.cpp
@@ -1,9 +1,9 @@
 /// @file
 /// Bounds on the time until a change of the endpoint list reaches the node after discovery has failed in
 /// different ways; docs/lifecycle-races.md derives them. Each test forces a failure path by scripting what
-/// discovery does with consecutive calls, and measures until the call that discovery answers. A busy machine
-/// can only lengthen a run: if one of three runs is within the bound, so are the node's timeouts and
-/// backoffs.
+/// discovery does with consecutive calls, and measures until the call to which discovery sends the list. A
+/// busy machine can only lengthen a run: if one of three runs is within the bound, so are the node's timeouts
+/// and backoffs.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -66,9 +66,9 @@
     testing::Values(
         WatchScript{"Silence", "automatic", {Step::kOneEmptyLine, Step::kSilence}},
         WatchScript{"Head", "automatic", {Step::kOneEmptyLine, Step::kHead}},
-        WatchScript{"HalfList", "automatic", {Step::kOneEmptyLine, Step::kHalfList}},
+        WatchScript{"HalfList", "automatic", {Step::kOneEmptyLine, Step::kIncompleteList}},
         WatchScript{"Trickle", "automatic", {Step::kOneEmptyLine, Step::kTrickle}},
-        WatchScript{"HalfListInSubscribeMode", "subscribe", {Step::kOneEmptyLine, Step::kHalfList}},
+        WatchScript{"HalfListInSubscribeMode", "subscribe", {Step::kOneEmptyLine, Step::kIncompleteList}},
         WatchScript{"TrickleInSubscribeMode", "subscribe", {Step::kOneEmptyLine, Step::kTrickle}}),
     name_of);
 
@@ -110,12 +110,13 @@
 }
 INSTANTIATE_TEST_SUITE_P(
     After, ReloadNotification,
-    testing::Values(WatchScript{"Silences", "automatic", {Step::kSilence, Step::kSilence}},
-                    WatchScript{"HalfLists", "automatic", {Step::kHalfList, Step::kHalfList}},
-                    WatchScript{"EmptyLinesOnly", "automatic", {Step::kEndlessEmptyLines}},
-                    WatchScript{"SilenceInSubscribeMode", "subscribe", {Step::kSilence}},
-                    WatchScript{"HalfListsInSubscribeMode", "subscribe", {Step::kHalfList, Step::kHalfList}},
-                    WatchScript{"ResetsInSubscribeMode", "subscribe", std::vector<Step>(8, Step::kReset)}),
+    testing::Values(
+        WatchScript{"Silences", "automatic", {Step::kSilence, Step::kSilence}},
+        WatchScript{"HalfLists", "automatic", {Step::kIncompleteList, Step::kIncompleteList}},
+        WatchScript{"EmptyLinesOnly", "automatic", {Step::kEndlessEmptyLines}},
+        WatchScript{"SilenceInSubscribeMode", "subscribe", {Step::kSilence}},
+        WatchScript{"HalfListsInSubscribeMode", "subscribe", {Step::kIncompleteList, Step::kIncompleteList}},
+        WatchScript{"ResetsInSubscribeMode", "subscribe", std::vector<Step>(8, Step::kReset)}),
     name_of);
 
 // A reload must end a backoff that has grown: after five resets it is at least 2 s.
