--- a/lab/run/experiment_reader.cpp
+++ b/lab/run/experiment_reader.cpp
@@ -71,7 +71,7 @@
   if (effect == "safe") return Idempotency::kIdempotent;
   if (effect == "keyed") return Idempotency::kIdempotencyKey;
   if (effect == "unsafe") return Idempotency::kNonIdempotent;
-  table.reject("effect", "\"safe\", \"keyed\" or \"unsafe\"");
+  table.reject("effect", R"("safe", "keyed" or "unsafe")");
 }
 
 ClassSpec read_class(TomlTable& table) {
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -33,7 +33,8 @@
 constexpr std::size_t kMaxIdleReadAheadBytes = RequestReader::kReadBytes;
 
 std::optional<RequestError> to_request_error(const error_code& error) {
-  static_assert(kBodyLimit == 64 * 1024 * 1024 && kHeaderLimit == 16 * 1024, "stated in the messages below");
+  static_assert(kBodyLimit == std::size_t{64} * 1024 * 1024 && kHeaderLimit == std::size_t{16} * 1024,
+                "stated in the messages below");
   // need_more: the parser has consumed all it can use for now; need_buffer: it has filled the chunk.
   if (!error || error == http::error::need_more || error == http::error::need_buffer) return std::nullopt;
   if (error == http::error::body_limit) {
