--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -254,13 +254,13 @@
   limit.rlim_cur = limit.rlim_max;
   ::setrlimit(RLIMIT_NOFILE, &limit);
   const std::size_t idle = limit.rlim_max >= 1200 ? 1000 : 300;
-  constexpr std::size_t busy = 6;
+  constexpr std::size_t kBusyClients = 6;
   Gate gate;
   // Three servers for six requests: the node allows two requests in flight at a server that has not responded
   // yet. It allows more at first, but this higher limit decays within seconds, and the idle clients may take
   // longer than that to connect.
-  std::array<FakeServer, busy / 2> servers{FakeServer(reply_after(gate)), FakeServer(reply_after(gate)),
-                                           FakeServer(reply_after(gate))};
+  std::array<FakeServer, kBusyClients / 2> servers{
+      FakeServer(reply_after(gate)), FakeServer(reply_after(gate)), FakeServer(reply_after(gate))};
   const auto forwarded = [&servers] {
     std::multiset<std::string> ids;
     for (FakeServer& server : servers) {
@@ -279,7 +279,7 @@
     ASSERT_EQ(health_status(clients.back()), 200);
   }
   std::multiset<std::string> expected;
-  for (std::size_t i = 0; i < busy; ++i) {
+  for (std::size_t i = 0; i < kBusyClients; ++i) {
     clients.push_back(deployment.client());
     const std::string id = "first" + std::to_string(i);
     expected.insert(id);
@@ -287,7 +287,7 @@
     while (text.size() < 40 * kKibibyte) text += get_request("behind").text();
     clients.back().write(text);
   }
-  eventually([&] { return forwarded().size() >= busy; });
+  eventually([&] { return forwarded().size() >= kBusyClients; });
   ASSERT_EQ(forwarded(), expected);
   deployment.program->suspend();
   for (Connection& client : clients) GetParam() ? client.reset() : client.close();
