--- a/regress.sh
+++ b/regress.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# Plays panels of the operators' benches, one after the other, and tells whether one did badly:
+# Runs panels of the operators' benches one after the other and fails if a panel fails:
 #   ./regress.sh PANEL [OPTION ...]     PANEL: ops, later, real, mass, brink, module, or all; options go to the bench
-# The kit lies beside the repository, or where KIT says; SITE names another site file than akl-build's.
+# KIT is the folder of the operators' kit (default: beside the repository), SITE the site file (default: akl-build's).
 set -uo pipefail
 cd "$(dirname "$0")"
 kit=${KIT:-../given/kit}
 site=${SITE:-$kit/sites/akl-build.toml}
 usage() { sed -n '3s/^# *//p' "$0" >&2; }
 
-play() {  # PANEL BENCH OPTION ...
+run_bench() {  # PANEL BENCH OPTION ...
   local panel=$1 bench=$kit/$2 log status
   shift 2
   [ -x "$bench" ] || { echo "regress: $panel: no bench at $bench" >&2; return 2; }
@@ -16,7 +16,7 @@
   echo "== $panel"
   "$bench" score "$site" "$@" | tee "$log"
   status=${PIPESTATUS[0]}
-  # A day that breaks a rule says so at the end of its line; a crash and a missed start are told there too.
+  # The line of a day ends with the rule that it broke, or with a crash or a missed start.
   if [ "$status" -ne 0 ] || grep -qE 'BROKEN|GATE failed|RULE BROKEN|crashed' "$log"; then
     echo "regress: $panel failed (status $status)" >&2
     status=1
@@ -29,12 +29,12 @@
   local name=$1
   shift
   case $name in
-    ops) play ops more/ops/bin/lbreal "$@" ;;
-    later) play later more/ops/bin/lbreal --panel later "$@" ;;
-    real) play real real/bin/lbreal "$@" ;;
-    brink) play brink more/mass/bin/lbreal --panel brink "$@" ;;
-    mass) play mass more/mass/bin/lbreal "$@" ;;
-    module) play module bin/lbsim "$@" ;;
+    ops) run_bench ops more/ops/bin/lbreal "$@" ;;
+    later) run_bench later more/ops/bin/lbreal --panel later "$@" ;;
+    real) run_bench real real/bin/lbreal "$@" ;;
+    brink) run_bench brink more/mass/bin/lbreal --panel brink "$@" ;;
+    mass) run_bench mass more/mass/bin/lbreal "$@" ;;
+    module) run_bench module bin/lbsim "$@" ;;
     *) echo "regress: unknown panel '$name'" >&2; usage; return 2 ;;
   esac
 }
